--- a/crates/dispatch/tests/advice.rs
+++ b/crates/dispatch/tests/advice.rs
@@ -1,8 +1,8 @@
 //! Queues whose steps must be cleared for workers by a service outside the system.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, step, task};
+use harness::{Harness, job, step, task};
 use insta::assert_snapshot;
 use quincewheel_job::{Advice, Job, Step};
 use quincewheel_wire::{Notice, Refused};
@@ -14,22 +14,22 @@
 }
 
 /// Answers the oldest question: these workers may run the step.
-fn answer(bed: &mut Bed, good: &[&str]) {
-    let question = bed.questions.remove(0);
+fn answer(harness: &mut Harness, good: &[&str]) {
+    let question = harness.advice_requests.remove(0);
     let ticket = |worker: &&str| ((*worker).to_owned(), format!("ticket-{worker}"));
     let tickets: Vec<(String, String)> = good.iter().map(ticket).collect();
-    bed.owner.advised(&question, Some((&tickets, 5000)), bed.now, bed.now);
-    bed.step();
+    harness.owner.advised(&question, Some((&tickets, 5000)), harness.now, harness.now);
+    harness.tick();
 }
 
 #[test]
 fn a_step_starts_only_where_it_is_cleared() {
-    let mut bed = Bed::open(1, 3).idle(3);
-    bed.owner.job("a", cleared(vec![step(2, 8)]), 150, None);
-    bed.step();
-    let asked = bed.told();
-    answer(&mut bed, &["i2"]);
-    assert_snapshot!(format!("{asked}\n-- one may\n{}", bed.told()), @r"
+    let mut harness = Harness::new(1, 3).with_idle_workers(3);
+    harness.owner.job("a", cleared(vec![step(2, 8)]), 150, None);
+    harness.tick();
+    let asked = harness.take_orders();
+    answer(&mut harness, &["i2"]);
+    assert_snapshot!(format!("{asked}\n-- one may\n{}", harness.take_orders()), @r"
     ask i0 i1 i2
     -- one may
     w2 start a.0.0.0 run 1 with ticket-i2
@@ -38,20 +38,28 @@
 
 #[test]
 fn what_is_known_of_a_step_is_not_asked_again_until_its_ticket_runs_out() {
-    let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
-    bed.step();
-    answer(&mut bed, &["i1"]);
-    bed.status(1, &[], &[bed::end(1, task("a", 0, 0), 1, quincewheel_job::How::Stopped)]);
-    let again = bed.told();
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
+    harness.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
+    harness.tick();
+    answer(&mut harness, &["i1"]);
+    harness.report_status(
+        1,
+        &[],
+        &[harness::end(1, task("a", 0, 0), 1, quincewheel_job::How::Stopped)],
+    );
+    let again = harness.take_orders();
     for _ in 0..5 {
-        bed.pass(1000);
+        harness.advance(1000);
         for number in 0..2 {
-            bed.notice(number, Notice::Ping { stamp: bed.now, silent: 0 });
+            harness.deliver(number, Notice::Ping { stamp: harness.now, silent: 0 });
         }
     }
-    bed.status(1, &[], &[bed::end(2, task("a", 0, 0), 2, quincewheel_job::How::Stopped)]);
-    assert_snapshot!(format!("{again}\n-- after 5 s\n{}", bed.told()), @r"
+    harness.report_status(
+        1,
+        &[],
+        &[harness::end(2, task("a", 0, 0), 2, quincewheel_job::How::Stopped)],
+    );
+    assert_snapshot!(format!("{again}\n-- after 5 s\n{}", harness.take_orders()), @r"
     ask i0 i1
     w1 start a.0.0.0 run 1 with ticket-i1
     w1 start a.0.0.0 run 2 with ticket-i1
@@ -64,29 +72,29 @@
 // refuses the ticket. Cause: the ticket was used again and again.
 #[test]
 fn a_ticket_that_was_refused_is_asked_for_anew() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
-    bed.step();
-    answer(&mut bed, &["i0"]);
-    bed.told();
-    bed.notice(0, Notice::Unstarted { task: task("a", 0, 0), run: 1, why: Refused::Ticket });
-    assert_snapshot!(bed.told(), @"ask i0");
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    harness.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
+    harness.tick();
+    answer(&mut harness, &["i0"]);
+    harness.take_orders();
+    harness.deliver(0, Notice::Unstarted { task: task("a", 0, 0), run: 1, why: Refused::Ticket });
+    assert_snapshot!(harness.take_orders(), @"ask i0");
 }
 
 // Symptom: nothing on such queues starts any more. Sequence: one call to the service
 // gets no answer. Cause: the owner went on waiting for it.
 #[test]
 fn a_question_without_an_answer_is_asked_again() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
-    bed.step();
-    bed.told();
-    let question = bed.questions.remove(0);
-    bed.owner.advised(&question, None, bed.now, bed.now);
-    bed.step();
-    let at_once = bed.told();
-    bed.pass(400);
-    assert_snapshot!(format!("{at_once}\n-- 400 ms\n{}", bed.told()), @r"
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    harness.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
+    harness.tick();
+    harness.take_orders();
+    let question = harness.advice_requests.remove(0);
+    harness.owner.advised(&question, None, harness.now, harness.now);
+    harness.tick();
+    let at_once = harness.take_orders();
+    harness.advance(400);
+    assert_snapshot!(format!("{at_once}\n-- 400 ms\n{}", harness.take_orders()), @r"
     nothing
     -- 400 ms
     ask i0
--- a/crates/dispatch/tests/blame.rs
+++ b/crates/dispatch/tests/blame.rs
@@ -1,20 +1,20 @@
 //! Workers that fail all that they start, beside tasks that fail by themselves.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, end, job, step, task};
+use harness::{Harness, end, job, step, task};
 use insta::assert_snapshot;
 use quincewheel_job::How;
 use quincewheel_wire::Notice;
 
 /// Ends the run of a job's only task at w0 as failed.
-fn fail(bed: &mut Bed, number: u64, name: &str, run: u64) {
-    bed.status(0, &[], &[end(number, task(name, 0, 0), run, How::Failed)]);
+fn fail(harness: &mut Harness, number: u64, name: &str, run: u64) {
+    harness.report_status(0, &[], &[end(number, task(name, 0, 0), run, How::Failed)]);
 }
 
-fn ping(bed: &mut Bed, agents: u64) {
+fn ping(harness: &mut Harness, agents: u64) {
     for number in 0..agents {
-        bed.notice(number, Notice::Ping { stamp: bed.now, silent: 0 });
+        harness.deliver(number, Notice::Ping { stamp: harness.now, silent: 0 });
     }
 }
 
@@ -24,16 +24,16 @@
 // the last choice, and there was no other.
 #[test]
 fn a_task_does_not_return_to_the_worker_at_which_it_failed() {
-    let mut bed = Bed::open(1, 2).idle(2);
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
     for (number, name) in [(150, "a"), (151, "b")] {
-        bed.owner.job(name, job(1, vec![step(1, 8)]), number, None);
-        bed.step();
+        harness.owner.job(name, job(1, vec![step(1, 8)]), number, None);
+        harness.tick();
     }
-    bed.told();
-    fail(&mut bed, 1, "a", 1);
-    let at_once = bed.told();
-    bed.status(1, &[], &[end(1, task("b", 0, 0), 1, How::Done)]);
-    assert_snapshot!(format!("{at_once}\n-- another is free\n{}", bed.told()), @r"
+    harness.take_orders();
+    fail(&mut harness, 1, "a", 1);
+    let at_once = harness.take_orders();
+    harness.report_status(1, &[], &[end(1, task("b", 0, 0), 1, How::Done)]);
+    assert_snapshot!(format!("{at_once}\n-- another is free\n{}", harness.take_orders()), @r"
     nothing
     -- another is free
     w1 start a.0.0.0 run 2
@@ -42,23 +42,23 @@
 
 #[test]
 fn a_worker_at_which_several_jobs_fail_is_closed_for_a_while() {
-    let mut bed = Bed::open(1, 1).idle(1);
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let mut told = Vec::new();
     for (number, name) in [(1, "a"), (2, "b"), (3, "c"), (4, "d")] {
-        bed.owner.job(name, job(1, vec![step(1, 8)]), 150 + number, None);
-        bed.step();
-        told.push(format!("{name}: {}", bed.told()));
+        harness.owner.job(name, job(1, vec![step(1, 8)]), 150 + number, None);
+        harness.tick();
+        told.push(format!("{name}: {}", harness.take_orders()));
         if number < 4 {
-            fail(&mut bed, number, name, 1);
-            bed.owner.cancel(name, bed.now);
-            bed.told();
+            fail(&mut harness, number, name, 1);
+            harness.owner.cancel(name, harness.now);
+            harness.take_orders();
         }
     }
     for _ in 0..3 {
-        bed.pass(1000);
-        ping(&mut bed, 1);
+        harness.advance(1000);
+        ping(&mut harness, 1);
     }
-    told.push(format!("after 3 s: {}", bed.told()));
+    told.push(format!("after 3 s: {}", harness.take_orders()));
     assert_snapshot!(told.join("\n"), @r"
     a: w0 start a.0.0.0 run 1 
     b: w0 start b.0.0.0 run 1 
@@ -70,36 +70,36 @@
 
 #[test]
 fn a_job_that_fails_everywhere_closes_no_worker() {
-    let mut bed = Bed::open(1, 1).idle(1);
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let mut hopeless = job(1, vec![step(1, 8)]);
     hopeless.queue.attempts = 9;
-    bed.owner.job("a", hopeless, 150, None);
-    bed.step();
+    harness.owner.job("a", hopeless, 150, None);
+    harness.tick();
     for number in 1..=4 {
-        fail(&mut bed, number, "a", number);
+        fail(&mut harness, number, "a", number);
     }
-    bed.owner.cancel("a", bed.now);
-    bed.told();
-    bed.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
-    bed.step();
-    assert_snapshot!(bed.told(), @"w0 start b.0.0.0 run 1");
+    harness.owner.cancel("a", harness.now);
+    harness.take_orders();
+    harness.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
+    harness.tick();
+    assert_snapshot!(harness.take_orders(), @"w0 start b.0.0.0 run 1");
 }
 
 // Symptom: a task waits for ever. Sequence: it failed at the only worker that has the
 // label it needs. Cause: it never returned there.
 #[test]
 fn a_task_returns_after_a_while_where_no_other_worker_may_run_it() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
-    bed.step();
-    bed.told();
-    fail(&mut bed, 1, "a", 1);
-    let at_once = bed.told();
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.tick();
+    harness.take_orders();
+    fail(&mut harness, 1, "a", 1);
+    let at_once = harness.take_orders();
     for _ in 0..3 {
-        bed.pass(1000);
-        ping(&mut bed, 1);
+        harness.advance(1000);
+        ping(&mut harness, 1);
     }
-    assert_snapshot!(format!("{at_once}\n-- 3 s\n{}", bed.told()), @r"
+    assert_snapshot!(format!("{at_once}\n-- 3 s\n{}", harness.take_orders()), @r"
     nothing
     -- 3 s
     w0 start a.0.0.0 run 2
--- a/crates/dispatch/tests/broke.rs
+++ b/crates/dispatch/tests/broke.rs
@@ -1,8 +1,8 @@
 //! Workers that broke a connection a moment ago, or that have just started, as urgent work sees them.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, step};
+use harness::{Harness, job, step};
 use insta::assert_snapshot;
 use quincewheel_job::{Step, Worker};
 use quincewheel_wire::Notice;
@@ -12,16 +12,16 @@
 // a worker was taken for silent only after 3 s.
 #[test]
 fn a_worker_that_broke_its_connections_takes_nothing_until_it_answers() {
-    let mut bed = Bed::open(1, 3).idle(3);
-    let worker = bed::worker(0).incarnation();
-    bed.notice(0, Notice::Broke { worker, starts: Vec::new() });
+    let mut harness = Harness::new(1, 3).with_idle_workers(3);
+    let worker = harness::worker(0).incarnation();
+    harness.deliver(0, Notice::Broke { worker, starts: Vec::new() });
     let gang = |count| Step { gang: true, ..step(count, 8) };
-    bed.owner.job("two", job(0, vec![gang(2)]), 150, None);
-    bed.owner.job("one", job(0, vec![gang(1)]), 151, None);
-    bed.step();
-    let broken = bed.told();
-    bed.status(0, &[], &[]);
-    assert_snapshot!(format!("{broken}\n-- it answers\n{}", bed.told()), @r"
+    harness.owner.job("two", job(0, vec![gang(2)]), 150, None);
+    harness.owner.job("one", job(0, vec![gang(1)]), 151, None);
+    harness.tick();
+    let broken = harness.take_orders();
+    harness.report_status(0, &[], &[]);
+    assert_snapshot!(format!("{broken}\n-- it answers\n{}", harness.take_orders()), @r"
     w1 start two.0.0.0 run 1 
     w2 start two.0.0.1 run 1 
     -- it answers
@@ -33,22 +33,22 @@
 // slow, beside others that are not.
 #[test]
 fn a_worker_that_is_slow_after_its_start_is_the_last_choice() {
-    let mut bed = Bed::open(1, 2).idle(2);
-    let cold = |cold| Worker { cold, ..bed::worker(0) };
-    let report = |bed: &mut Bed, worker| {
-        let (stamp, running, ended) = (bed.now, Vec::new(), Vec::new());
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
+    let cold = |cold| Worker { cold, ..harness::worker(0) };
+    let report = |harness: &mut Harness, worker| {
+        let (stamp, running, ended) = (harness.now, Vec::new(), Vec::new());
         let worker = Some(worker);
-        bed.notice(0, Notice::Status { stamp, worker, fenced: true, running, ended });
+        harness.deliver(0, Notice::Status { stamp, worker, fenced: true, running, ended });
     };
-    report(&mut bed, cold(800));
-    bed.owner.job("cold", job(0, vec![step(1, 1)]), 150, None);
-    bed.step();
-    bed.pass(500);
-    report(&mut bed, cold(800));
-    bed.pass(400);
-    bed.owner.job("warm", job(0, vec![step(1, 8)]), 151, None);
-    bed.step();
-    assert_snapshot!(bed.told(), @r"
+    report(&mut harness, cold(800));
+    harness.owner.job("cold", job(0, vec![step(1, 1)]), 150, None);
+    harness.tick();
+    harness.advance(500);
+    report(&mut harness, cold(800));
+    harness.advance(400);
+    harness.owner.job("warm", job(0, vec![step(1, 8)]), 151, None);
+    harness.tick();
+    assert_snapshot!(harness.take_orders(), @r"
     w1 start cold.0.0.0 run 1 
     w0 start warm.0.0.0 run 1
     ");
--- a/crates/dispatch/tests/crashes.rs
+++ b/crates/dispatch/tests/crashes.rs
@@ -1,11 +1,11 @@
 //! Tasks that crash each worker that starts them, and tasks that run beside them.
 
-mod bed;
-mod pool;
+mod crashing_pool;
+mod harness;
 
-use bed::{Bed, job, step};
+use crashing_pool::CrashingPool;
+use harness::{Harness, job, step};
 use insta::assert_snapshot;
-use pool::Pool;
 use quincewheel_dispatch::Settings;
 use quincewheel_job::{Task, Worker};
 use quincewheel_wire::Notice;
@@ -18,11 +18,11 @@
 // that crashes lists none.
 #[test]
 fn a_task_that_crashes_each_worker_is_given_up() {
-    let mut pool = Pool::open(1, 11);
-    pool.bad = vec!["bad"];
+    let mut pool = CrashingPool::new(1, 11);
+    pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(1, 4)]), 150);
-    pool.pass(30_000);
-    let state = pool.bed.owner.has_ended("bad");
+    pool.advance(30_000);
+    let state = pool.harness.owner.has_ended("bad");
     assert_snapshot!(
         format!("{} starts, {} crashes, ended {state}", pool.starts.len(), pool.crashes),
         @"3 starts, 3 crashes, ended true"
@@ -34,13 +34,13 @@
 // the worker's id was the same.
 #[test]
 fn a_task_that_crashes_workers_which_keep_their_ids_is_given_up() {
-    let mut pool = Pool::open(1, 4);
-    pool.bed.owner.tune(Settings::default());
-    pool.keeps_ids = true;
-    pool.bad = vec!["bad"];
+    let mut pool = CrashingPool::new(1, 4);
+    pool.harness.owner.tune(Settings::default());
+    pool.keeps_worker_ids = true;
+    pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(1, 4)]), 150);
-    pool.pass(60_000);
-    let state = pool.bed.owner.has_ended("bad");
+    pool.advance(60_000);
+    let state = pool.harness.owner.has_ended("bad");
     assert_snapshot!(
         format!("{} starts, {} crashes, ended {state}", pool.starts.len(), pool.crashes),
         @"3 starts, 3 crashes, ended true"
@@ -53,13 +53,13 @@
 // and nothing told who had done it.
 #[test]
 fn a_task_that_starts_beside_a_bad_one_is_not_given_up() {
-    let mut pool = Pool::open(1, 1);
-    pool.bad = vec!["bad"];
+    let mut pool = CrashingPool::new(1, 1);
+    pool.crashing_jobs = vec!["bad"];
     for (name, version) in [("a", 150), ("bad", 151), ("c", 152)] {
         pool.submit(name, job(1, vec![step(1, 1)]), version);
     }
-    pool.pass(30_000);
-    assert_snapshot!(pool.stories(&["a", "bad", "c"]), @r"
+    pool.advance(30_000);
+    assert_snapshot!(pool.summaries(&["a", "bad", "c"]), @r"
     a: 4 starts
     bad: 3 starts, ended
     c: 2 starts
@@ -71,16 +71,17 @@
 // at most, no sound one is given up.
 #[test]
 fn several_bad_tasks_are_told_from_the_sound_ones() {
-    let mut pool = Pool::open(1, 2);
-    pool.bad = vec!["bad1", "bad2"];
+    let mut pool = CrashingPool::new(1, 2);
+    pool.crashing_jobs = vec!["bad1", "bad2"];
     let jobs = ["a", "bad1", "c", "bad2", "e", "f"];
     for (name, version) in jobs.into_iter().zip(150..) {
         pool.submit(name, job(1, vec![step(1, 1)]), version);
     }
-    pool.pass(60_000);
+    pool.advance(60_000);
     let starts = |job: &str| pool.starts.iter().filter(|start| start.starts_with(job)).count();
-    let most = pool.bad.iter().map(|job| starts(job)).max();
-    let ended: Vec<&str> = jobs.into_iter().filter(|job| pool.bed.owner.has_ended(job)).collect();
+    let most = pool.crashing_jobs.iter().map(|job| starts(job)).max();
+    let ended: Vec<&str> =
+        jobs.into_iter().filter(|job| pool.harness.owner.has_ended(job)).collect();
     assert_snapshot!(format!("{ended:?} {most:?}"), @r#"["bad1", "bad2"] Some(3)"#);
 }
 
@@ -89,16 +90,16 @@
 // was not recorded.
 #[test]
 fn a_new_owner_knows_of_crashes_before() {
-    let mut pool = Pool::open(1, 11);
-    pool.bad = vec!["bad"];
+    let mut pool = CrashingPool::new(1, 11);
+    pool.crashing_jobs = vec!["bad"];
     let bad = job(1, vec![step(1, 4)]);
     pool.submit("bad", bad.clone(), 150);
     for epoch in 2..5 {
-        pool.pass(400);
+        pool.advance(400);
         pool.take_over(epoch, vec![("bad", bad.clone())]);
-        pool.pass(7000);
+        pool.advance(7000);
     }
-    assert_snapshot!(pool.stories(&["bad"]), @r"
+    assert_snapshot!(pool.summaries(&["bad"]), @r"
     bad: 3 starts, ended
     3 crashes
     ");
@@ -108,15 +109,15 @@
 // has the crash.
 #[test]
 fn a_task_waits_until_its_crash_is_recorded() {
-    let mut pool = Pool::open(1, 11);
-    pool.bad = vec!["bad"];
+    let mut pool = CrashingPool::new(1, 11);
+    pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(1, 4)]), 150);
-    pool.writes = false;
-    pool.pass(5000);
-    let before = pool.stories(&["bad"]);
-    pool.writes = true;
-    pool.pass(5000);
-    assert_snapshot!(format!("{before}\n-- the table is back\n{}", pool.stories(&["bad"])), @r"
+    pool.table_writable = false;
+    pool.advance(5000);
+    let before = pool.summaries(&["bad"]);
+    pool.table_writable = true;
+    pool.advance(5000);
+    assert_snapshot!(format!("{before}\n-- the table is back\n{}", pool.summaries(&["bad"])), @r"
     bad: 1 starts
     1 crashes
     -- the table is back
@@ -129,24 +130,24 @@
 // not cost a worker each.
 #[test]
 fn other_tasks_of_a_bad_job_wait_for_the_first() {
-    let mut pool = Pool::open(1, 11);
-    pool.bad = vec!["bad"];
+    let mut pool = CrashingPool::new(1, 11);
+    pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(20, 8)]), 150);
-    pool.pass(30_000);
+    pool.advance(30_000);
     let before = pool.starts.iter().take_while(|start| **start != "bad.0.0.0").count();
-    assert_snapshot!(format!("{before} {}", pool.story("bad")), @"0 bad: 13 starts, ended");
+    assert_snapshot!(format!("{before} {}", pool.summary("bad")), @"0 bad: 13 starts, ended");
 }
 
 // A gang is given up as one, by its starts.
 #[test]
 fn a_gang_that_crashes_workers_is_given_up() {
-    let mut pool = Pool::open(1, 11);
-    pool.bad = vec!["bad"];
+    let mut pool = CrashingPool::new(1, 11);
+    pool.crashing_jobs = vec!["bad"];
     let mut bad = job(1, vec![step(3, 8)]);
     bad.steps[0].gang = true;
     pool.submit("bad", bad, 150);
-    pool.pass(30_000);
-    assert_snapshot!(pool.stories(&["bad"]), @r"
+    pool.advance(30_000);
+    assert_snapshot!(pool.summaries(&["bad"]), @r"
     bad: 9 starts, ended
     9 crashes
     ");
@@ -156,25 +157,25 @@
 // that has outlived a start begins its count anew.
 #[test]
 fn crashes_that_come_by_chance_are_forgotten() {
-    let mut pool = Pool::open(1, 4);
+    let mut pool = CrashingPool::new(1, 4);
     pool.submit("a", job(1, vec![step(1, 8)]), 150);
     for _ in 0..6 {
-        pool.pass(10);
+        pool.advance(10);
         while pool.running.iter().all(Vec::is_empty) {
-            pool.pass(10);
+            pool.advance(10);
         }
         let number = pool.running.iter().position(|runs| !runs.is_empty()).unwrap_or(0);
         let run = pool.running[number][0].clone();
         pool.crash(number as u64, vec![(run.task, run.number)]);
         // It outlives every second start.
         while pool.running.iter().all(Vec::is_empty) {
-            pool.pass(10);
+            pool.advance(10);
         }
-        pool.pass(3000);
+        pool.advance(3000);
         let number = pool.running.iter().position(|runs| !runs.is_empty()).unwrap_or(0);
         pool.crash(number as u64, Vec::new());
     }
-    assert_snapshot!(pool.stories(&["a"]), @r"
+    assert_snapshot!(pool.summaries(&["a"]), @r"
     a: 12 starts
     12 crashes
     ");
@@ -183,20 +184,20 @@
 // A worker that ends in good order breaks its connections, too.
 #[test]
 fn a_worker_that_leaves_has_not_crashed() {
-    let mut pool = Pool::open(1, 2);
+    let mut pool = CrashingPool::new(1, 2);
     pool.submit("a", job(1, vec![step(1, 8)]), 150);
-    pool.pass(10);
+    pool.advance(10);
     let number = pool.running.iter().position(|runs| !runs.is_empty()).unwrap_or(0) as u64;
     let worker = pool.worker(number).incarnation();
     let run = pool.running[number as usize][0].clone();
     let starts = vec![(run.task, run.number)];
-    pool.bed.events = vec!["crash suspected"];
-    pool.bed.notice(number, Notice::Broke { worker: worker.clone(), starts });
-    pool.bed.notice(number, Notice::Left { worker });
-    let worker = Some(Worker { id: "next".into(), ..bed::worker(number) });
-    let (stamp, running, ended) = (pool.bed.now, Vec::new(), Vec::new());
-    pool.bed.notice(number, Notice::Status { stamp, worker, fenced: false, running, ended });
-    assert_snapshot!(pool.bed.logged(), @"nothing");
+    pool.harness.logged_events = vec!["crash suspected"];
+    pool.harness.deliver(number, Notice::Broke { worker: worker.clone(), starts });
+    pool.harness.deliver(number, Notice::Left { worker });
+    let worker = Some(Worker { id: "next".into(), ..harness::worker(number) });
+    let (stamp, running, ended) = (pool.harness.now, Vec::new(), Vec::new());
+    pool.harness.deliver(number, Notice::Status { stamp, worker, fenced: false, running, ended });
+    assert_snapshot!(pool.harness.take_logs(), @"nothing");
 }
 
 // Symptom: as at first, on platforms that list no machines, and where the list comes late. Sequence:
@@ -205,19 +206,19 @@
 // with none, and the crash was not counted.
 #[test]
 fn a_crash_counts_when_the_next_life_is_known_only_later() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
-    bed.step();
-    bed.events = vec!["crash suspected"];
-    let starts = vec![(bed::task("a", 0, 0), 1)];
-    bed.notice(0, Notice::Broke { worker: "i0".into(), starts });
-    let (stamp, running, ended) = (bed.now, Vec::new(), Vec::new());
-    bed.notice(0, Notice::Status { stamp, worker: None, fenced: false, running, ended });
-    let worker = Some(Worker { id: "i0-2".into(), ..bed::worker(0) });
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.tick();
+    harness.logged_events = vec!["crash suspected"];
+    let starts = vec![(harness::task("a", 0, 0), 1)];
+    harness.deliver(0, Notice::Broke { worker: "i0".into(), starts });
+    let (stamp, running, ended) = (harness.now, Vec::new(), Vec::new());
+    harness.deliver(0, Notice::Status { stamp, worker: None, fenced: false, running, ended });
+    let worker = Some(Worker { id: "i0-2".into(), ..harness::worker(0) });
     let (running, ended) = (Vec::new(), Vec::new());
-    bed.notice(0, Notice::Status { stamp, worker, fenced: false, running, ended });
+    harness.deliver(0, Notice::Status { stamp, worker, fenced: false, running, ended });
     assert_snapshot!(
-        bed.logged(),
+        harness.take_logs(),
         @"crash suspected a: a.0.0.0 run 1 at w0, one of 1 just started there: 1 of 3"
     );
 }
@@ -225,16 +226,16 @@
 // An owner that is told late, when the next life is there already.
 #[test]
 fn a_crash_of_a_life_before_the_one_that_is_there_counts_at_once() {
-    let mut bed = Bed::open(1, 1);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
-    let mut bed = bed.idle(1);
-    bed.events = vec!["crash suspected"];
-    let starts = vec![(bed::task("a", 0, 0), 1)];
+    let mut harness = Harness::new(1, 1);
+    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    let mut harness = harness.with_idle_workers(1);
+    harness.logged_events = vec!["crash suspected"];
+    let starts = vec![(harness::task("a", 0, 0), 1)];
     for _ in 0..2 {
         let starts = starts.clone();
-        bed.notice(0, Notice::Broke { worker: "i0-before".into(), starts });
+        harness.deliver(0, Notice::Broke { worker: "i0-before".into(), starts });
     }
-    assert_snapshot!(bed.logged(), @r"
+    assert_snapshot!(harness.take_logs(), @r"
     crash suspected a: a.0.0.0 run 1 at w0, one of 1 just started there: 1 of 3
     ");
 }
@@ -245,16 +246,16 @@
 // another worker, cleared nobody.
 #[test]
 fn those_that_were_lost_beside_a_bad_task_are_cleared_when_it_is_found() {
-    let mut pool = Pool::open(1, 8);
-    pool.bad = vec!["bad"];
+    let mut pool = CrashingPool::new(1, 8);
+    pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(1, 1)]), 150);
     pool.submit("a", job(1, vec![step(20, 1)]), 151);
-    let begin = pool.bed.now;
+    let begin = pool.harness.now;
     let mut all = 0;
-    while all == 0 && pool.bed.now < begin + 30_000 {
-        pool.pass(10);
+    while all == 0 && pool.harness.now < begin + 30_000 {
+        pool.advance(10);
         let runs = pool.running.iter().flatten().filter(|run| run.task.job == "a").count();
-        all = if runs == 20 { pool.bed.now - begin } else { 0 };
+        all = if runs == 20 { pool.harness.now - begin } else { 0 };
     }
     // Twice what tells that a worker is gone, and the time between two starts at one worker.
     assert!((1..=1000).contains(&all), "all run after {all} ms");
@@ -264,9 +265,9 @@
 // But what was taken for outliving may have been an old list, held up on its way: alone, it counts.
 #[test]
 fn a_task_that_has_outlived_a_start_is_suspected_only_if_it_was_alone() {
-    let mut pool = Pool::open(1, 2);
+    let mut pool = CrashingPool::new(1, 2);
     pool.submit("a", job(1, vec![step(1, 8)]), 150);
-    pool.pass(4000);
+    pool.advance(4000);
     for others in [1, 0] {
         let place = pool.running.iter().position(|runs| !runs.is_empty()).unwrap_or(0) as u64;
         let run = pool.running[place as usize][0].clone();
@@ -274,10 +275,10 @@
         let mut starts = vec![(run.task, run.number)];
         starts.extend((0..others).map(|_| (other.clone(), 1)));
         pool.crash(place, starts);
-        pool.pass(500);
+        pool.advance(500);
     }
     assert_snapshot!(
-        pool.suspected.join("\n"),
+        pool.suspected_crashes.join("\n"),
         @"a.0.0.0 run 2 at w1, one of 1 just started there: 1 of 3"
     );
 }
@@ -287,41 +288,41 @@
 // worker that it may crash.
 #[test]
 fn a_suspect_starts_where_the_least_runs() {
-    let mut pool = Pool::open(1, 4);
-    pool.bad = vec!["bad"];
+    let mut pool = CrashingPool::new(1, 4);
+    pool.crashing_jobs = vec!["bad"];
     for (name, version, count) in [("a", 150, 6), ("b", 151, 3), ("c", 152, 5), ("d", 153, 4)] {
         let mut busy = job(1, vec![step(1, count)]);
         // Apart from one another.
         busy.steps[0].need.cpu = 40_000;
         pool.submit(name, busy, version);
     }
-    pool.pass(3000);
+    pool.advance(3000);
     pool.submit("bad", job(1, vec![step(1, 1)]), 160);
-    pool.pass(3000);
-    let starts = pool.starts.iter().zip(&pool.places);
-    let places: Vec<u64> =
+    pool.advance(3000);
+    let starts = pool.starts.iter().zip(&pool.start_agents);
+    let start_agents: Vec<u64> =
         starts.filter(|(task, _)| *task == "bad.0.0.0").map(|(_, place)| *place).collect();
-    assert_snapshot!(format!("{places:?}"), @"[0, 1, 3]");
+    assert_snapshot!(format!("{start_agents:?}"), @"[0, 1, 3]");
 }
 
 // Symptom: a sound task is lost with a bad one, and suspected. Sequence: a suspect starts; before its
 // worker has crashed, a job arrives and starts beside it. For 300 ms nothing else starts there.
 #[test]
 fn nothing_starts_beside_a_suspect_that_has_just_started() {
-    let mut pool = Pool::open(1, 1);
+    let mut pool = CrashingPool::new(1, 1);
     pool.submit("a", job(1, vec![step(1, 1)]), 150);
-    pool.pass(10);
+    pool.advance(10);
     let run = pool.running[0][0].clone();
     pool.crash(0, vec![(run.task, run.number)]);
     while pool.running[0].is_empty() {
-        pool.pass(10);
+        pool.advance(10);
     }
-    let tried = pool.bed.now;
+    let tried = pool.harness.now;
     pool.submit("b", job(1, vec![step(1, 1)]), 151);
     while pool.running[0].len() < 2 {
-        pool.pass(10);
+        pool.advance(10);
     }
-    let later = pool.bed.now - tried;
+    let later = pool.harness.now - tried;
     assert!((300..400).contains(&later), "{later} ms later");
 }
 
@@ -331,27 +332,27 @@
 // left had outlived the start, so the gang was taken for one that crashes no workers, for good.
 #[test]
 fn members_that_wait_for_another_do_not_clear_their_gang() {
-    let mut bed = Bed::open(1, 2).idle(2);
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let mut gang = job(1, vec![step(2, 8)]);
     gang.steps[0].gang = true;
-    bed.owner.job("a", gang, 150, None);
-    bed.step();
-    bed.events = vec!["crash suspected"];
+    harness.owner.job("a", gang, 150, None);
+    harness.tick();
+    harness.logged_events = vec!["crash suspected"];
     // The first member's worker is gone; the second waits.
-    let (stamp, running, ended) = (bed.now, Vec::new(), Vec::new());
-    let other = Some(Worker { id: "i0-2".into(), ..bed::worker(0) });
-    bed.notice(0, Notice::Status { stamp, worker: other, fenced: false, running, ended });
+    let (stamp, running, ended) = (harness.now, Vec::new(), Vec::new());
+    let other = Some(Worker { id: "i0-2".into(), ..harness::worker(0) });
+    harness.deliver(0, Notice::Status { stamp, worker: other, fenced: false, running, ended });
     for _ in 0..3 {
-        bed.pass(1000);
-        bed.status(1, &[bed::run(bed::task("a", 0, 1), 1)], &[]);
+        harness.advance(1000);
+        harness.report_status(1, &[harness::run(harness::task("a", 0, 1), 1)], &[]);
     }
-    let starts = vec![(bed::task("a", 0, 1), 1)];
-    bed.notice(1, Notice::Broke { worker: "i1".into(), starts });
-    let (stamp, running, ended) = (bed.now, Vec::new(), Vec::new());
-    let other = Some(Worker { id: "i1-2".into(), ..bed::worker(1) });
-    bed.notice(1, Notice::Status { stamp, worker: other, fenced: false, running, ended });
+    let starts = vec![(harness::task("a", 0, 1), 1)];
+    harness.deliver(1, Notice::Broke { worker: "i1".into(), starts });
+    let (stamp, running, ended) = (harness.now, Vec::new(), Vec::new());
+    let other = Some(Worker { id: "i1-2".into(), ..harness::worker(1) });
+    harness.deliver(1, Notice::Status { stamp, worker: other, fenced: false, running, ended });
     assert_snapshot!(
-        bed.logged(),
+        harness.take_logs(),
         @"crash suspected a: a.0.0.1 run 1 at w1, one of 1 just started there: 1 of 3"
     );
 }
@@ -362,44 +363,44 @@
 // it was never cleared, and the other tasks of its step waited for it without end.
 #[test]
 fn a_crash_under_a_task_that_is_done_holds_nothing_up() {
-    let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", job(1, vec![step(2, 8)]), 150, None);
-    bed.step();
-    let first = bed::task("a", 0, 0);
-    bed.status(0, &[], &[bed::end(1, first.clone(), 1, quincewheel_job::How::Done)]);
-    let record = bed.record();
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
+    harness.owner.job("a", job(1, vec![step(2, 8)]), 150, None);
+    harness.tick();
+    let first = harness::task("a", 0, 0);
+    harness.report_status(0, &[], &[harness::end(1, first.clone(), 1, quincewheel_job::How::Done)]);
+    let record = harness.record();
     let (_, progress) = record.jobs.first().cloned().expect("the end is recorded");
-    let mut bed = Bed::open(2, 2);
-    bed.owner.job("a", job(1, vec![step(2, 8)]), 50, Some(progress));
-    bed.link(0);
+    let mut harness = Harness::new(2, 2);
+    harness.owner.job("a", job(1, vec![step(2, 8)]), 50, Some(progress));
+    harness.connect(0);
     let starts = vec![(first, 1)];
-    bed.notice(0, Notice::Broke { worker: "i0-before".into(), starts });
-    bed.status(0, &[], &[]);
-    bed.link(1);
-    bed.status(1, &[], &[]);
-    bed.record();
-    bed.live(12_000, 2);
-    assert_snapshot!(bed.told(), @"w0 start a.0.0.1 run 1001");
+    harness.deliver(0, Notice::Broke { worker: "i0-before".into(), starts });
+    harness.report_status(0, &[], &[]);
+    harness.connect(1);
+    harness.report_status(1, &[], &[]);
+    harness.record();
+    harness.advance_with_pings(12_000, 2);
+    assert_snapshot!(harness.take_orders(), @"w0 start a.0.0.1 run 1001");
 }
 
 // The other way round: a suspect waits where something else has just started, or a crash there would
 // be blamed on both.
 #[test]
 fn a_suspect_does_not_start_beside_what_has_just_started() {
-    let mut pool = Pool::open(1, 1);
+    let mut pool = CrashingPool::new(1, 1);
     pool.submit("a", job(1, vec![step(1, 1)]), 150);
-    pool.pass(10);
+    pool.advance(10);
     let run = pool.running[0][0].clone();
     pool.crash(0, vec![(run.task, run.number)]);
     // It comes first, as its priority says.
     pool.submit("b", job(0, vec![step(1, 1)]), 151);
     while pool.running[0].is_empty() {
-        pool.pass(10);
+        pool.advance(10);
     }
-    let first = pool.bed.now;
+    let first = pool.harness.now;
     while pool.running[0].len() < 2 {
-        pool.pass(10);
+        pool.advance(10);
     }
-    let later = pool.bed.now - first;
+    let later = pool.harness.now - first;
     assert!((300..400).contains(&later), "{later} ms later");
 }
--- a/crates/dispatch/tests/dismissed.rs
+++ b/crates/dispatch/tests/dismissed.rs
@@ -1,19 +1,19 @@
 //! Members that come back while their rows are being dropped.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, run, step, task};
+use harness::{Harness, job, run, step, task};
 use insta::assert_snapshot;
 use quincewheel_job::How;
 use quincewheel_wire::Notice;
 
 /// Passes `ms` while the agents ping; the worker of the second is silent for so long.
-fn pass(bed: &mut Bed, ms: u64, mut silent: u64) -> u64 {
+fn pass(harness: &mut Harness, ms: u64, mut silent: u64) -> u64 {
     for _ in 0..ms / 500 {
-        bed.pass(500);
+        harness.advance(500);
         silent += 500;
-        bed.notice(0, Notice::Ping { stamp: bed.now, silent: 0 });
-        bed.notice(1, Notice::Ping { stamp: bed.now, silent });
+        harness.deliver(0, Notice::Ping { stamp: harness.now, silent: 0 });
+        harness.deliver(1, Notice::Ping { stamp: harness.now, silent });
     }
     silent
 }
@@ -25,16 +25,16 @@
 // whether nothing runs there was asked before the write only.
 #[test]
 fn nothing_starts_at_a_member_whose_row_is_being_dropped() {
-    let mut bed = Bed::open(1, 2).idle(2);
-    pass(&mut bed, 15_000, 0);
-    let batch = bed.owner.record().unwrap_or_default();
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
+    pass(&mut harness, 15_000, 0);
+    let batch = harness.owner.record().unwrap_or_default();
     // It answers again before the table does.
-    bed.notice(1, Notice::Ping { stamp: bed.now, silent: 0 });
-    bed.owner.job("a", job(1, vec![step(9, 1)]), 150, None);
-    bed.step();
-    let began = bed.told().lines().filter(|line| line.starts_with("w1")).count();
-    bed.owner.recorded(&batch, true);
-    bed.step();
+    harness.deliver(1, Notice::Ping { stamp: harness.now, silent: 0 });
+    harness.owner.job("a", job(1, vec![step(9, 1)]), 150, None);
+    harness.tick();
+    let began = harness.take_orders().lines().filter(|line| line.starts_with("w1")).count();
+    harness.owner.recorded(&batch, true);
+    harness.tick();
     assert_snapshot!(format!("gone {:?}, {began} began there", batch.gone), @r#"gone ["w1"], 0 began there"#);
 }
 
@@ -42,24 +42,24 @@
 // Cause: with the agent its lapse was forgotten, so its runs never lapsed.
 #[test]
 fn a_run_at_a_member_whose_row_was_just_dropped_ends_with_its_lease() {
-    let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
-    bed.step();
-    bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
-    pass(&mut bed, 15_000, 0);
-    let batch = bed.owner.record().unwrap_or_default();
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
+    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.tick();
+    harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
+    pass(&mut harness, 15_000, 0);
+    let batch = harness.owner.record().unwrap_or_default();
     // It answers again before the table does, and what it lists is taken in.
-    bed.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
-    bed.status(1, &[run(task("b", 0, 0), 1)], &[]);
-    bed.owner.recorded(&batch, true);
-    bed.told();
-    let begin = bed.now;
-    bed.status(0, &[], &[bed::end(1, task("a", 0, 0), 1, How::Done)]);
+    harness.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
+    harness.report_status(1, &[run(task("b", 0, 0), 1)], &[]);
+    harness.owner.recorded(&batch, true);
+    harness.take_orders();
+    let begin = harness.now;
+    harness.report_status(0, &[], &[harness::end(1, task("a", 0, 0), 1, How::Done)]);
     let mut again = Vec::new();
     for _ in 0..20 {
-        bed.pass(500);
-        bed.notice(0, Notice::Ping { stamp: bed.now, silent: 0 });
-        let (told, ms) = (bed.told(), bed.now - begin);
+        harness.advance(500);
+        harness.deliver(0, Notice::Ping { stamp: harness.now, silent: 0 });
+        let (told, ms) = (harness.take_orders(), harness.now - begin);
         let starts = told.lines().filter(|line| line.contains("start"));
         again.extend(starts.map(|line| format!("{ms} ms: {line}")));
     }
@@ -77,18 +77,18 @@
 // ping follows a second later.
 #[test]
 fn a_worker_that_is_silent_gets_nothing_when_its_agent_announces_itself_again() {
-    let mut bed = Bed::open(1, 2).idle(2);
-    let silent = pass(&mut bed, 15_000, 0);
-    bed.record();
-    let dropped = bed.told();
-    bed.owner.agent("w1", bed.now);
-    bed.link(1);
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
+    let silent = pass(&mut harness, 15_000, 0);
+    harness.record();
+    let dropped = harness.take_orders();
+    harness.owner.agent("w1", harness.now);
+    harness.connect(1);
     // What the agent tells on a claim, and when: `Runner::claim` and `Runner::tick`.
-    bed.status(1, &[], &[]);
-    bed.owner.job("a", job(1, vec![step(9, 1)]), 150, None);
-    bed.pass(1000);
-    bed.notice(1, Notice::Ping { stamp: bed.now, silent: silent + 1000 });
-    let told = bed.told();
+    harness.report_status(1, &[], &[]);
+    harness.owner.job("a", job(1, vec![step(9, 1)]), 150, None);
+    harness.advance(1000);
+    harness.deliver(1, Notice::Ping { stamp: harness.now, silent: silent + 1000 });
+    let told = harness.take_orders();
     let there: Vec<&str> = told.lines().filter(|line| line.starts_with("w1")).collect();
     assert_snapshot!(format!("{dropped}\n-- announced\n{}", there.join("\n")), @"
     close 1
--- a/crates/dispatch/tests/former.rs
+++ b/crates/dispatch/tests/former.rs
@@ -1,8 +1,8 @@
 //! A former owner that lives, cut off, and a new one.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, run, step, task};
+use harness::{Harness, job, run, step, task};
 use quincewheel_dispatch::{Output, Owner, Settings};
 use quincewheel_wire::{Notice, Order};
 
@@ -75,12 +75,12 @@
     }
     former.outputs();
     former.confirm(written);
-    let mut bed = Bed::open(2, 0);
-    bed.now = claimed;
-    bed.owner = Owner::open(Settings::default(), 2, bed::CLAIM, claimed);
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    let mut harness = Harness::new(2, 0);
+    harness.now = claimed;
+    harness.owner = Owner::open(Settings::default(), 2, harness::CLAIM_VERSION, claimed);
+    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
     for number in 0..3 {
-        bed.owner.agent(&format!("w{number}"), claimed);
+        harness.owner.agent(&format!("w{number}"), claimed);
     }
     let (mut granted, mut started) = (0, 0);
     for now in (9_100..25_000).step_by(100) {
@@ -98,18 +98,18 @@
         if now < claimed {
             continue;
         }
-        bed.now = now;
+        harness.now = now;
         for number in [1, 2] {
             if now == claimed {
-                bed.link(number);
-                bed.status(number, &[], &[]);
+                harness.connect(number);
+                harness.report_status(number, &[], &[]);
             }
             if now % 1000 == 300 {
-                bed.notice(number, Notice::Ping { stamp: now, silent: 0 });
+                harness.deliver(number, Notice::Ping { stamp: now, silent: 0 });
             }
         }
-        bed.step();
-        if started == 0 && bed.told().contains("start old") {
+        harness.tick();
+        if started == 0 && harness.take_orders().contains("start old") {
             started = now;
         }
     }
@@ -118,6 +118,6 @@
 }
 
 fn status(number: u64, stamp: u64, running: &[quincewheel_job::Run]) -> Notice {
-    let worker = Some(bed::worker(number));
+    let worker = Some(harness::worker(number));
     Notice::Status { stamp, worker, fenced: true, running: running.to_vec(), ended: Vec::new() }
 }
--- a/crates/dispatch/tests/bed/mod.rs
+++ b/crates/dispatch/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! An owner with agents that answer as the test says.
+//! Drives an owner without a network: agents send what the test says, and the orders that the owner
+//! sends are collected.
 
 #![allow(dead_code)]
 
@@ -6,54 +7,60 @@
 use quincewheel_job::{End, How, Job, Need, Queue, Run, Step, Task, Worker};
 use quincewheel_wire::{LinkId, Notice, Order};
 
-pub struct Bed {
+/// An owner, the clock, and what the owner sent.
+pub struct Harness {
     pub owner: Owner,
+    /// Time in milliseconds, for the owner and its agents.
     pub now: u64,
-    pub lines: Vec<String>,
-    pub questions: Vec<Question>,
-    /// Events whose log lines are kept.
-    pub events: Vec<&'static str>,
-    /// Those lines.
+    /// Orders and requests of the owner, formatted, since the last `take_orders`.
+    pub orders: Vec<String>,
+    /// Clearance requests to the advice service that the test has not answered.
+    pub advice_requests: Vec<Question>,
+    /// Log events of which lines are collected in `logs`.
+    pub logged_events: Vec<&'static str>,
     pub logs: Vec<String>,
 }
 
-/// The table's version at which the owner claimed; older jobs have lower ones.
-pub const CLAIM: u64 = 100;
+/// Table version of the owner's claim; jobs stored before it have lower versions.
+pub const CLAIM_VERSION: u64 = 100;
 
-impl Bed {
-    /// An owner that has just claimed, and knows agents `w0` to `wN`.
-    pub fn open(epoch: u64, agents: u64) -> Bed {
-        let mut owner = Owner::open(Settings::default(), epoch, CLAIM, 10_000);
+impl Harness {
+    /// Creates an owner that has just claimed the ownership and knows this many agents, from `w0`
+    /// on.
+    pub fn new(epoch: u64, agents: u64) -> Harness {
+        let mut owner = Owner::open(Settings::default(), epoch, CLAIM_VERSION, 10_000);
         for number in 0..agents {
             owner.agent(&format!("w{number}"), 10_000);
         }
-        Bed {
+        Harness {
             owner,
             now: 10_000,
-            lines: Vec::new(),
-            questions: Vec::new(),
-            events: Vec::new(),
+            orders: Vec::new(),
+            advice_requests: Vec::new(),
+            logged_events: Vec::new(),
             logs: Vec::new(),
         }
     }
 
-    /// Agents connect and report workers that run nothing.
-    pub fn idle(mut self, agents: u64) -> Bed {
+    /// Connects the agents and reports a worker without runs for each.
+    pub fn with_idle_workers(mut self, agents: u64) -> Harness {
         for number in 0..agents {
-            self.link(number);
-            self.status(number, &[], &[]);
+            self.connect(number);
+            self.report_status(number, &[], &[]);
         }
-        self.drain();
+        self.collect_outputs();
         self
     }
 
-    pub fn link(&mut self, number: u64) {
+    /// Opens a connection to an agent; its link id is the agent's number.
+    pub fn connect(&mut self, number: u64) {
         self.owner.linked(&format!("w{number}"), number, self.now);
     }
 
-    pub fn status(&mut self, number: u64, running: &[Run], ended: &[End]) {
+    /// Sends a status of an agent whose worker acknowledged the owner's epoch.
+    pub fn report_status(&mut self, number: u64, running: &[Run], ended: &[End]) {
         let worker = Some(worker(number));
-        self.notice(
+        self.deliver(
             number,
             Notice::Status {
                 stamp: self.now,
@@ -65,51 +72,56 @@
         );
     }
 
-    pub fn notice(&mut self, link: LinkId, notice: Notice) {
+    /// Delivers a notice of an agent, then runs the owner once.
+    pub fn deliver(&mut self, link: LinkId, notice: Notice) {
         self.owner.notice(link, notice, self.now);
-        self.step();
+        self.tick();
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the clock by `ms` in one step, then runs the owner once.
+    pub fn advance(&mut self, ms: u64) {
         self.now += ms;
-        self.step();
+        self.tick();
     }
 
-    pub fn step(&mut self) {
+    /// Runs the owner at the current time, with its ownership confirmed by the table.
+    pub fn tick(&mut self) {
         self.owner.confirm(self.now);
         self.owner.tick(self.now, self.now);
-        self.drain();
+        self.collect_outputs();
     }
 
+    /// Writes what the owner wants recorded, successfully, and returns it.
     pub fn record(&mut self) -> Batch {
         let batch = self.owner.record().unwrap_or_default();
         self.owner.recorded(&batch, true);
-        self.drain();
+        self.collect_outputs();
         batch
     }
 
-    pub fn drain(&mut self) {
+    /// Collects the owner's outputs. Lease grants and claims are left out.
+    pub fn collect_outputs(&mut self) {
         for output in self.owner.outputs() {
             match output {
                 Output::Send { order: Order::Grant { .. } | Order::Claim { .. }, .. } => {}
-                Output::Send { link, order } => self.lines.push(line(link, &order)),
+                Output::Send { link, order } => self.orders.push(format_order(link, &order)),
                 Output::Ask { question } => {
                     let workers = question.workers.iter().map(ToString::to_string);
                     let workers: Vec<String> = workers.collect();
-                    self.lines.push(format!("ask {}", workers.join(" ")));
-                    self.questions.push(question);
+                    self.orders.push(format!("ask {}", workers.join(" ")));
+                    self.advice_requests.push(question);
                 }
-                Output::List => self.lines.push("list".to_owned()),
+                Output::List => self.orders.push("list".to_owned()),
                 Output::Take { wave, machine } => {
-                    self.lines.push(format!("take {machine} for {wave}"));
+                    self.orders.push(format!("take {machine} for {wave}"));
                 }
                 Output::Wave { number, done } => {
-                    self.lines.push(format!("wave {number} done {done}"));
+                    self.orders.push(format!("wave {number} done {done}"));
                 }
-                Output::Close { link } => self.lines.push(format!("close {link}")),
-                Output::Deposed { epoch } => self.lines.push(format!("deposed by {epoch}")),
+                Output::Close { link } => self.orders.push(format!("close {link}")),
+                Output::Deposed { epoch } => self.orders.push(format!("deposed by {epoch}")),
                 Output::Log { event, subject, detail } => {
-                    if self.events.contains(&event) {
+                    if self.logged_events.contains(&event) {
                         self.logs.push(format!("{event} {subject}: {detail}"));
                     }
                 }
@@ -117,31 +129,31 @@
         }
     }
 
-    /// Lets time pass in the steps in which an owner looks at what is due, while
-    /// the first agents go on answering.
-    pub fn live(&mut self, ms: u64, agents: u64) {
+    /// Advances the clock by `ms` in steps of 100 ms, the owner's tick, while the first agents keep
+    /// sending pings.
+    pub fn advance_with_pings(&mut self, ms: u64, agents: u64) {
         for _ in 0..ms / 100 {
-            self.pass(100);
+            self.advance(100);
             for number in 0..agents {
-                self.notice(number, Notice::Ping { stamp: self.now, silent: 0 });
+                self.deliver(number, Notice::Ping { stamp: self.now, silent: 0 });
             }
         }
     }
 
-    /// The lines of the chosen events since the last time.
-    pub fn logged(&mut self) -> String {
-        let lines = std::mem::take(&mut self.logs);
-        if lines.is_empty() { "nothing".to_owned() } else { lines.join("\n") }
+    /// Returns the collected log lines, one a line, and clears them.
+    pub fn take_logs(&mut self) -> String {
+        let logs = std::mem::take(&mut self.logs);
+        if logs.is_empty() { "nothing".to_owned() } else { logs.join("\n") }
     }
 
-    /// What was ordered since the last time.
-    pub fn told(&mut self) -> String {
-        let lines = std::mem::take(&mut self.lines);
-        if lines.is_empty() { "nothing".to_owned() } else { lines.join("\n") }
+    /// Returns the collected orders, one a line, and clears them.
+    pub fn take_orders(&mut self) -> String {
+        let orders = std::mem::take(&mut self.orders);
+        if orders.is_empty() { "nothing".to_owned() } else { orders.join("\n") }
     }
 }
 
-fn line(link: LinkId, order: &Order) -> String {
+fn format_order(link: LinkId, order: &Order) -> String {
     match order {
         Order::Start { task, run, saved, ticket, .. } if ticket.is_empty() => {
             format!("w{link} start {task} run {run} {saved}")
@@ -159,7 +171,7 @@
     }
 }
 
-/// A worker with 8 accelerators; three stand in one rack.
+/// Returns a worker with 8 accelerators; each three consecutive numbers share a rack.
 pub fn worker(number: u64) -> Worker {
     Worker {
         id: format!("i{number}"),
@@ -171,12 +183,14 @@
     }
 }
 
+/// Returns a job of team `t` in a queue of pool `p`, with 2 attempts for each task.
 pub fn job(priority: u32, steps: Vec<Step>) -> Job {
     let queue =
         Queue { name: "q".into(), pool: "p".into(), priority, attempts: 2, ..Queue::default() };
     Job { team: "t".into(), queue, spec: String::new(), steps, schedule: None, accepted: 0 }
 }
 
+/// Returns a step of `count` tasks, each estimated at 1000 ms.
 pub fn step(count: u32, accelerators: u64) -> Step {
     let need = Need { cpu: 1000, memory: 1000, accelerators };
     Step { count, need, estimate: 1000, ..Step::default() }
@@ -186,6 +200,7 @@
     Task { job: job.into(), occurrence: 0, step, index }
 }
 
+/// Returns a listed run that is at 10 percent.
 pub fn run(task: Task, number: u64) -> Run {
     Run { task, number, saved: String::new(), percent: 10, gauge: 0 }
 }
--- a/crates/dispatch/tests/kept.rs
+++ b/crates/dispatch/tests/kept.rs
@@ -1,8 +1,8 @@
 //! Room that is kept for a step, and is not made.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, end, job, run, step, task};
+use harness::{Harness, end, job, run, step, task};
 use insta::assert_snapshot;
 use quincewheel_job::{Config, How, Task, Team};
 use quincewheel_wire::Notice;
@@ -13,29 +13,29 @@
 // job back for 3 s, and nothing looks again when that time is over.
 #[test]
 fn a_job_goes_elsewhere_once_the_room_kept_for_it_is_void() {
-    let mut bed = Bed::open(1, 2).idle(2);
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let team = Team { name: "t".into(), guaranteed: 8 };
     let teams = [("t".to_owned(), team)].into();
-    bed.owner.configure(&Config { version: 1, teams, ..Config::default() });
+    harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
     for number in 0..2 {
         let name = format!("low{number}");
-        bed.owner.job(&name, job(1, vec![step(1, 8)]), 150 + number, None);
-        bed.status(number, &[run(low(number), 1)], &[]);
-        bed.pass(200);
+        harness.owner.job(&name, job(1, vec![step(1, 8)]), 150 + number, None);
+        harness.report_status(number, &[run(low(number), 1)], &[]);
+        harness.advance(200);
     }
-    bed.told();
-    bed.owner.job("high", job(0, vec![step(1, 8)]), 200, None);
-    bed.step();
-    let made = bed.told();
-    bed.pass(1000);
-    bed.status(0, &[], &[end(1, low(0), 1, How::Done)]);
+    harness.take_orders();
+    harness.owner.job("high", job(0, vec![step(1, 8)]), 200, None);
+    harness.tick();
+    let made = harness.take_orders();
+    harness.advance(1000);
+    harness.report_status(0, &[], &[end(1, low(0), 1, How::Done)]);
     for _ in 0..20 {
         // The worker that refuses the stop answers looks.
-        bed.pass(500);
-        bed.notice(0, Notice::Ping { stamp: bed.now, silent: 0 });
-        bed.status(1, &[run(low(1), 1)], &[]);
+        harness.advance(500);
+        harness.deliver(0, Notice::Ping { stamp: harness.now, silent: 0 });
+        harness.report_status(1, &[run(low(1), 1)], &[]);
     }
-    assert_snapshot!(format!("{made}\n-- w0 is free, 10 s pass\n{}", bed.told()), @r"
+    assert_snapshot!(format!("{made}\n-- w0 is free, 10 s pass\n{}", harness.take_orders()), @r"
     w1 stop low1.0.0.0 run 1
     -- w0 is free, 10 s pass
     w0 start high.0.0.0 run 1
--- a/crates/dispatch/tests/mirror.rs
+++ b/crates/dispatch/tests/mirror.rs
@@ -1,8 +1,8 @@
 //! The table's rows as one process knows them.
 
-mod bed;
+mod harness;
 
-use bed::{job, step};
+use harness::{job, step};
 use insta::assert_snapshot;
 use quincewheel_dispatch::rows::{self, Node, OWNER, Ownership};
 use quincewheel_dispatch::{Mirror, News};
--- a/crates/dispatch/tests/pace.rs
+++ b/crates/dispatch/tests/pace.rs
@@ -1,24 +1,24 @@
 //! Workers that report themselves well while their runs stand still.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, run, step, task};
+use harness::{Harness, job, run, step, task};
 use insta::assert_snapshot;
 use quincewheel_job::{Run, Step};
 
 /// A run of a task of 4 s on the first of two workers, listed each second.
 fn play(percents: &[u32]) -> String {
-    let mut bed = Bed::open(1, 2).idle(2);
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let long = Step { estimate: 4000, ..step(1, 8) };
-    bed.owner.job("a", job(1, vec![long]), 150, None);
-    bed.step();
-    bed.told();
+    harness.owner.job("a", job(1, vec![long]), 150, None);
+    harness.tick();
+    harness.take_orders();
     for &percent in percents {
-        bed.pass(1000);
-        bed.status(0, &[Run { percent, ..run(task("a", 0, 0), 1) }], &[]);
-        bed.status(1, &[], &[]);
+        harness.advance(1000);
+        harness.report_status(0, &[Run { percent, ..run(task("a", 0, 0), 1) }], &[]);
+        harness.report_status(1, &[], &[]);
     }
-    bed.told()
+    harness.take_orders()
 }
 
 #[test]
@@ -50,17 +50,17 @@
 // through and waits for a slower one. Cause: its standstill was taken for trouble.
 #[test]
 fn a_member_that_waits_for_its_gang_is_left_alone() {
-    let mut bed = Bed::open(1, 2).idle(2);
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let gang = Step { estimate: 4000, gang: true, ..step(2, 8) };
-    bed.owner.job("a", job(1, vec![gang]), 150, None);
-    bed.step();
-    bed.told();
+    harness.owner.job("a", job(1, vec![gang]), 150, None);
+    harness.tick();
+    harness.take_orders();
     for slow in [20, 30, 40, 50, 60, 70] {
-        bed.pass(1000);
+        harness.advance(1000);
         for (number, percent) in [(0, 100), (1, slow)] {
             let listed = run(task("a", 0, number), 1);
-            bed.status(u64::from(number), &[Run { percent, ..listed }], &[]);
+            harness.report_status(u64::from(number), &[Run { percent, ..listed }], &[]);
         }
     }
-    assert_snapshot!(bed.told(), @"nothing");
+    assert_snapshot!(harness.take_orders(), @"nothing");
 }
--- a/crates/dispatch/tests/recalled.rs
+++ b/crates/dispatch/tests/recalled.rs
@@ -1,8 +1,8 @@
 //! Members that announce themselves before the answer to the write that drops them.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, run, step, task, worker};
+use harness::{Harness, job, run, step, task, worker};
 use insta::assert_snapshot;
 use quincewheel_dispatch::Output;
 use quincewheel_job::Worker;
@@ -18,17 +18,17 @@
 // dialled), though the feed has told a row that was written after the drop.
 #[test]
 fn a_member_that_announced_itself_is_not_dismissed_by_a_late_answer() {
-    let mut bed = Bed::open(1, 2).idle(2);
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let (running, ended) = (Vec::new(), Vec::new());
     let none = Notice::Status { stamp: 0, worker: None, fenced: false, running, ended };
-    bed.notice(1, Notice::Left { worker: "i1".into() });
-    bed.notice(1, none);
-    let batch = bed.owner.record().unwrap_or_default();
+    harness.deliver(1, Notice::Left { worker: "i1".into() });
+    harness.deliver(1, none);
+    let batch = harness.owner.record().unwrap_or_default();
     // The feed tells of the drop, and then of the agent's new row.
-    bed.owner.unlisted("w1");
-    bed.told();
-    bed.owner.agent("w1", bed.now);
-    bed.owner.linked("w1", 2, bed.now);
+    harness.owner.unlisted("w1");
+    harness.take_orders();
+    harness.owner.agent("w1", harness.now);
+    harness.owner.linked("w1", 2, harness.now);
     let status = |running: &[_], stamp| Notice::Status {
         stamp,
         worker: Some(Worker { id: "i1b".into(), ..worker(1) }),
@@ -36,16 +36,16 @@
         running: running.to_vec(),
         ended: Vec::new(),
     };
-    bed.notice(2, status(&[], bed.now));
-    bed.owner.job("a", job(1, vec![step(2, 8)]), 150, None);
-    bed.pass(100);
-    bed.notice(2, status(&[run(task("a", 0, 1), 1)], bed.now));
-    let began = bed.told().contains("w2 start a.0.0.1");
-    bed.owner.recorded(&batch, true);
-    bed.pass(100);
-    let told = bed.told();
-    bed.owner.notice(2, Notice::Ping { stamp: bed.now, silent: 0 }, bed.now);
-    let granted = bed
+    harness.deliver(2, status(&[], harness.now));
+    harness.owner.job("a", job(1, vec![step(2, 8)]), 150, None);
+    harness.advance(100);
+    harness.deliver(2, status(&[run(task("a", 0, 1), 1)], harness.now));
+    let began = harness.take_orders().contains("w2 start a.0.0.1");
+    harness.owner.recorded(&batch, true);
+    harness.advance(100);
+    let told = harness.take_orders();
+    harness.owner.notice(2, Notice::Ping { stamp: harness.now, silent: 0 }, harness.now);
+    let granted = harness
         .owner
         .outputs()
         .iter()
--- a/crates/dispatch/tests/refusals.rs
+++ b/crates/dispatch/tests/refusals.rs
@@ -1,8 +1,8 @@
 //! Workers that refuse starts: one and then not the next, or again and again.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, run, step, task};
+use harness::{Harness, job, run, step, task};
 use insta::assert_snapshot;
 use quincewheel_job::Run;
 use quincewheel_wire::{Notice, Refused};
@@ -16,36 +16,36 @@
 // `replan`; `ask_refusers` only looks at agents with `until > 0`).
 #[test]
 fn a_start_that_takes_effect_opens_a_worker_that_refused_another() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
-    bed.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
-    bed.step();
-    bed.told();
-    bed.notice(0, Notice::Unstarted { task: task("a", 0, 0), run: 1, why: Refused::Busy });
-    bed.pass(10);
-    bed.notice(0, Notice::Started { task: task("b", 0, 0), run: 1 });
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
+    harness.tick();
+    harness.take_orders();
+    harness.deliver(0, Notice::Unstarted { task: task("a", 0, 0), run: 1, why: Refused::Busy });
+    harness.advance(10);
+    harness.deliver(0, Notice::Started { task: task("b", 0, 0), run: 1 });
     for second in 0..20 {
-        bed.live(1000, 1);
+        harness.advance_with_pings(1000, 1);
         let listed = run(task("b", 0, 0), 1);
-        bed.status(0, &[Run { percent: second, ..listed }], &[]);
+        harness.report_status(0, &[Run { percent: second, ..listed }], &[]);
     }
-    assert_snapshot!(bed.told().trim_end(), @"w0 start a.0.0.0 run 2");
+    assert_snapshot!(harness.take_orders().trim_end(), @"w0 start a.0.0.0 run 2");
 }
 
 /// Refuses each start at `w0` for so many milliseconds, in steps of 10, and returns when
 /// they were ordered.
-fn refuse(bed: &mut Bed, ms: u64) -> Vec<u64> {
-    let begin = bed.now;
+fn refuse(harness: &mut Harness, ms: u64) -> Vec<u64> {
+    let begin = harness.now;
     let mut starts = Vec::new();
     for _ in 0..ms / 10 {
-        if bed.told().contains("start") {
-            starts.push(bed.now - begin);
+        if harness.take_orders().contains("start") {
+            starts.push(harness.now - begin);
             let (task, run) = (task("a", 0, 0), starts.len() as u64);
-            bed.notice(0, Notice::Unstarted { task, run, why: Refused::Room });
+            harness.deliver(0, Notice::Unstarted { task, run, why: Refused::Room });
         }
-        bed.pass(10);
-        if bed.now.is_multiple_of(1000) {
-            bed.notice(0, Notice::Ping { stamp: bed.now, silent: 0 });
+        harness.advance(10);
+        if harness.now.is_multiple_of(1000) {
+            harness.deliver(0, Notice::Ping { stamp: harness.now, silent: 0 });
         }
     }
     starts
@@ -57,8 +57,8 @@
 // only one is the last as well.
 #[test]
 fn a_worker_that_refuses_a_start_is_left_alone_for_a_while() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
-    bed.step();
-    assert_snapshot!(format!("{:?}", refuse(&mut bed, 5000)), @"[0, 50, 150, 350, 750, 1550, 3150, 4750]");
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.tick();
+    assert_snapshot!(format!("{:?}", refuse(&mut harness, 5000)), @"[0, 50, 150, 350, 750, 1550, 3150, 4750]");
 }
--- a/crates/dispatch/tests/rowless.rs
+++ b/crates/dispatch/tests/rowless.rs
@@ -1,8 +1,8 @@
 //! Agents whose rows were dropped, and that are still there.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, step};
+use harness::{Harness, job, step};
 use insta::assert_snapshot;
 use quincewheel_wire::Notice;
 
@@ -14,22 +14,22 @@
 // member of an agent that was dismissed.
 #[test]
 fn a_connection_alone_makes_no_member_of_an_agent_whose_row_is_gone() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    bed.step();
-    bed.notice(0, Notice::Left { worker: "i0".into() });
-    let gone = bed.record().gone;
-    bed.told();
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    harness.tick();
+    harness.deliver(0, Notice::Left { worker: "i0".into() });
+    let gone = harness.record().gone;
+    harness.take_orders();
     // The dial that follows within 100 ms, and the worker's next life.
-    bed.link(0);
-    bed.status(0, &[], &[]);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
-    bed.pass(1000);
-    let before = bed.told();
+    harness.connect(0);
+    harness.report_status(0, &[], &[]);
+    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.advance(1000);
+    let before = harness.take_orders();
     // Its row is read again.
-    bed.owner.agent("w0", bed.now);
-    bed.link(0);
-    bed.status(0, &[], &[]);
-    assert_snapshot!(format!("{gone:?}\n{before}\n-- announced\n{}", bed.told()), @r#"
+    harness.owner.agent("w0", harness.now);
+    harness.connect(0);
+    harness.report_status(0, &[], &[]);
+    assert_snapshot!(format!("{gone:?}\n{before}\n-- announced\n{}", harness.take_orders()), @r#"
     ["w0"]
     close 0
     -- announced
@@ -42,16 +42,16 @@
 // come were told to the owner, not those that go.
 #[test]
 fn a_row_that_was_told_and_then_dropped_makes_no_member() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    bed.step();
-    bed.notice(0, Notice::Left { worker: "i0".into() });
-    bed.record();
-    bed.owner.agent("w0", bed.now);
-    bed.owner.unlisted("w0");
-    bed.told();
-    bed.link(0);
-    bed.status(0, &[], &[]);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
-    bed.pass(1000);
-    assert_snapshot!(bed.told(), @"close 0");
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    harness.tick();
+    harness.deliver(0, Notice::Left { worker: "i0".into() });
+    harness.record();
+    harness.owner.agent("w0", harness.now);
+    harness.owner.unlisted("w0");
+    harness.take_orders();
+    harness.connect(0);
+    harness.report_status(0, &[], &[]);
+    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.advance(1000);
+    assert_snapshot!(harness.take_orders(), @"close 0");
 }
--- a/crates/dispatch/tests/shut.rs
+++ b/crates/dispatch/tests/shut.rs
@@ -1,8 +1,8 @@
 //! Room that is being made at a worker that refuses a start meanwhile.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, run, step, task};
+use harness::{Harness, job, run, step, task};
 use insta::assert_snapshot;
 use quincewheel_job::{Config, Task, Team};
 use quincewheel_wire::{Notice, Refused};
@@ -14,28 +14,28 @@
 // and is made once more elsewhere.
 #[test]
 fn a_refusal_does_not_make_room_twice() {
-    let mut bed = Bed::open(1, 2).idle(2);
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let team = Team { name: "t".into(), guaranteed: 8 };
     let teams = [("t".to_owned(), team)].into();
-    bed.owner.configure(&Config { version: 1, teams, ..Config::default() });
+    harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
     for number in 0..2 {
         let name = format!("low{number}");
-        bed.owner.job(&name, job(1, vec![step(1, 6)]), 150 + number, None);
-        bed.status(number, &[run(low(number), 1)], &[]);
-        bed.pass(200);
+        harness.owner.job(&name, job(1, vec![step(1, 6)]), 150 + number, None);
+        harness.report_status(number, &[run(low(number), 1)], &[]);
+        harness.advance(200);
     }
-    bed.owner.job("tiny", job(1, vec![step(2, 2)]), 160, None);
-    bed.step();
-    bed.owner.job("high", job(0, vec![step(1, 6)]), 200, None);
-    bed.step();
-    let made = bed.told();
-    bed.notice(1, Notice::Unstarted { task: task("tiny", 0, 1), run: 1, why: Refused::Busy });
-    bed.pass(100);
+    harness.owner.job("tiny", job(1, vec![step(2, 2)]), 160, None);
+    harness.tick();
+    harness.owner.job("high", job(0, vec![step(1, 6)]), 200, None);
+    harness.tick();
+    let made = harness.take_orders();
+    harness.deliver(1, Notice::Unstarted { task: task("tiny", 0, 1), run: 1, why: Refused::Busy });
+    harness.advance(100);
     let stops = |told: &str| {
         let stops: Vec<&str> = told.lines().filter(|line| line.contains("stop")).collect();
         stops.join(", ")
     };
-    let (first, then) = (stops(&made), stops(&bed.told()));
+    let (first, then) = (stops(&made), stops(&harness.take_orders()));
     assert_snapshot!(format!("{first}; refused: {then}"), @"w1 stop low1.0.0.0 run 1; refused: ");
 }
 
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -1,8 +1,8 @@
 //! What a new owner may start, and when.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, end, job, run, step, task};
+use harness::{Harness, end, job, run, step, task};
 use insta::assert_snapshot;
 use quincewheel_dispatch::rows::Ownership;
 use quincewheel_job::How;
@@ -14,17 +14,17 @@
 // Cause: a connection alone was taken for a report.
 #[test]
 fn older_jobs_wait_until_every_agent_has_reported() {
-    let mut bed = Bed::open(2, 2);
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
-    bed.link(0);
-    bed.status(0, &[], &[]);
-    bed.link(1);
-    bed.owner.job("new", job(1, vec![step(1, 1)]), 150, None);
-    bed.step();
-    let first = bed.told();
-    bed.status(1, &[run(task("old", 0, 0), 7)], &[]);
-    bed.pass(100);
-    assert_snapshot!(format!("{first}\n-- all reported\n{}", bed.told()), @r"
+    let mut harness = Harness::new(2, 2);
+    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.connect(0);
+    harness.report_status(0, &[], &[]);
+    harness.connect(1);
+    harness.owner.job("new", job(1, vec![step(1, 1)]), 150, None);
+    harness.tick();
+    let first = harness.take_orders();
+    harness.report_status(1, &[run(task("old", 0, 0), 7)], &[]);
+    harness.advance(100);
+    assert_snapshot!(format!("{first}\n-- all reported\n{}", harness.take_orders()), @r"
     w0 start new.0.0.0 run 1001 
     -- all reported
     nothing
@@ -33,17 +33,17 @@
 
 #[test]
 fn an_agent_that_stays_away_holds_older_jobs_until_its_leases_have_lapsed() {
-    let mut bed = Bed::open(2, 2);
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
-    bed.link(0);
-    bed.status(0, &[], &[]);
+    let mut harness = Harness::new(2, 2);
+    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.connect(0);
+    harness.report_status(0, &[], &[]);
     for _ in 0..4 {
-        bed.pass(1900);
-        bed.notice(0, Notice::Ping { stamp: bed.now, silent: 0 });
+        harness.advance(1900);
+        harness.deliver(0, Notice::Ping { stamp: harness.now, silent: 0 });
     }
-    let before = bed.told();
-    bed.pass(200);
-    assert_snapshot!(format!("{before}\n-- 7,800 ms\n{}", bed.told()), @r"
+    let before = harness.take_orders();
+    harness.advance(200);
+    assert_snapshot!(format!("{before}\n-- 7,800 ms\n{}", harness.take_orders()), @r"
     nothing
     -- 7,800 ms
     w0 start old.0.0.0 run 1001 
@@ -54,18 +54,18 @@
 // run on all the same.
 #[test]
 fn an_agent_that_knows_no_worker_has_not_reported() {
-    let mut bed = Bed::open(2, 2);
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
-    bed.link(0);
-    bed.status(0, &[], &[]);
-    bed.link(1);
+    let mut harness = Harness::new(2, 2);
+    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.connect(0);
+    harness.report_status(0, &[], &[]);
+    harness.connect(1);
     let (running, ended) = (Vec::new(), Vec::new());
     let none = Notice::Status { stamp: 0, worker: None, fenced: false, running, ended };
-    bed.notice(1, none);
-    let before = bed.told();
-    bed.notice(1, Notice::Left { worker: "i1".into() });
-    bed.pass(100);
-    assert_snapshot!(format!("{before}\n-- it has left\n{}", bed.told()), @r"
+    harness.deliver(1, none);
+    let before = harness.take_orders();
+    harness.deliver(1, Notice::Left { worker: "i1".into() });
+    harness.advance(100);
+    assert_snapshot!(format!("{before}\n-- it has left\n{}", harness.take_orders()), @r"
     nothing
     -- it has left
     w0 start old.0.0.0 run 1001 
@@ -78,18 +78,18 @@
 // that was its own former life.
 #[test]
 fn an_owner_whose_former_life_owned_waits_for_no_more_than_a_lease() {
-    let mut bed = Bed::open(2, 4);
-    bed.owner.former_ended();
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
-    bed.link(0);
-    bed.status(0, &[], &[]);
+    let mut harness = Harness::new(2, 4);
+    harness.owner.former_ended();
+    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.connect(0);
+    harness.report_status(0, &[], &[]);
     for _ in 0..3 {
-        bed.pass(2033);
-        bed.notice(0, Notice::Ping { stamp: bed.now, silent: 0 });
+        harness.advance(2033);
+        harness.deliver(0, Notice::Ping { stamp: harness.now, silent: 0 });
     }
-    let before = bed.told();
-    bed.pass(200);
-    assert_snapshot!(format!("{before}\n-- 6,300 ms\n{}", bed.told()), @r"
+    let before = harness.take_orders();
+    harness.advance(200);
+    assert_snapshot!(format!("{before}\n-- 6,300 ms\n{}", harness.take_orders()), @r"
     nothing
     -- 6,300 ms
     w0 start old.0.0.0 run 1001 
@@ -112,13 +112,13 @@
 
 #[test]
 fn ends_that_a_former_owner_did_not_record_count() {
-    let mut bed = Bed::open(2, 1);
-    bed.owner.job("old", job(1, vec![step(1, 1), step(1, 1)]), 50, None);
-    bed.link(0);
-    bed.status(0, &[], &[end(3, task("old", 0, 0), 1, How::Done)]);
-    bed.pass(100);
-    let batch = bed.record();
-    assert_snapshot!(format!("{}\n{} rows", bed.told(), batch.jobs.len()), @r"
+    let mut harness = Harness::new(2, 1);
+    harness.owner.job("old", job(1, vec![step(1, 1), step(1, 1)]), 50, None);
+    harness.connect(0);
+    harness.report_status(0, &[], &[end(3, task("old", 0, 0), 1, How::Done)]);
+    harness.advance(100);
+    let batch = harness.record();
+    assert_snapshot!(format!("{}\n{} rows", harness.take_orders(), batch.jobs.len()), @r"
     w0 start old.0.1.0 run 1001 
     w0 seen 3
     1 rows
@@ -130,22 +130,22 @@
 // before that record. Cause: the job's row was taken for a new job.
 #[test]
 fn a_job_that_ended_is_not_begun_anew_when_its_rows_are_told_again() {
-    let mut bed = Bed::open(1, 1).idle(1);
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let done = job(1, vec![step(1, 1)]);
-    bed.owner.job("a", done.clone(), 150, None);
-    bed.step();
-    bed.status(0, &[], &[end(1, task("a", 0, 0), 1, How::Done)]);
-    bed.record();
-    bed.told();
-    bed.owner.job("a", done.clone(), 150, None);
-    bed.step();
-    let again = bed.told();
-    bed.owner.dropped(&["a".to_owned()]);
-    bed.owner.loaded(200);
-    bed.owner.job("old", done.clone(), 199, None);
-    bed.owner.job("new", done, 201, None);
-    bed.step();
-    assert_snapshot!(format!("{again}\n{}", bed.told()), @r"
+    harness.owner.job("a", done.clone(), 150, None);
+    harness.tick();
+    harness.report_status(0, &[], &[end(1, task("a", 0, 0), 1, How::Done)]);
+    harness.record();
+    harness.take_orders();
+    harness.owner.job("a", done.clone(), 150, None);
+    harness.tick();
+    let again = harness.take_orders();
+    harness.owner.dropped(&["a".to_owned()]);
+    harness.owner.loaded(200);
+    harness.owner.job("old", done.clone(), 199, None);
+    harness.owner.job("new", done, 201, None);
+    harness.tick();
+    assert_snapshot!(format!("{again}\n{}", harness.take_orders()), @r"
     nothing
     w0 start new.0.0.0 run 1
     ");
--- a/crates/dispatch/tests/throttle.rs
+++ b/crates/dispatch/tests/throttle.rs
@@ -1,37 +1,37 @@
 //! Tasks that serve, and tasks that fill what those leave idle.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, step, task};
+use harness::{Harness, job, step, task};
 use insta::assert_snapshot;
 use quincewheel_job::{Run, Step};
 
 fn listed(name: &str, gauge: u64) -> Run {
-    Run { percent: 100, gauge, ..bed::run(task(name, 0, 0), 1) }
+    Run { percent: 100, gauge, ..harness::run(task(name, 0, 0), 1) }
 }
 
 /// One worker with a task that serves, within 100 ms, and one that fills.
-fn shared() -> Bed {
-    let mut bed = Bed::open(1, 1).idle(1);
+fn shared() -> Harness {
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let serves = Step { perpetual: true, target: 100, ..step(1, 1) };
     let fills = Step { fills: true, estimate: 60_000, ..step(1, 1) };
-    bed.owner.job("serves", job(1, vec![serves]), 150, None);
-    bed.owner.job("fills", job(2, vec![fills]), 151, None);
-    bed.step();
-    bed.told();
-    bed
+    harness.owner.job("serves", job(1, vec![serves]), 150, None);
+    harness.owner.job("fills", job(2, vec![fills]), 151, None);
+    harness.tick();
+    harness.take_orders();
+    harness
 }
 
 // Symptom: a task that serves is over its target for seconds. Cause: nobody looked at
 // what its neighbours do to it.
 #[test]
 fn neighbours_slow_down_as_a_task_that_serves_nears_its_target_and_speed_up_again() {
-    let mut bed = shared();
+    let mut harness = shared();
     let mut told = Vec::new();
     for gauge in [40, 85, 70, 130, 130, 50, 40] {
-        bed.pass(1000);
-        bed.status(0, &[listed("serves", gauge), listed("fills", 1000)], &[]);
-        told.push(format!("{gauge} ms: {}", bed.told()));
+        harness.advance(1000);
+        harness.report_status(0, &[listed("serves", gauge), listed("fills", 1000)], &[]);
+        told.push(format!("{gauge} ms: {}", harness.take_orders()));
     }
     assert_snapshot!(told.join("\n"), @r"
     40 ms: nothing
@@ -48,15 +48,15 @@
 // jobs come; each stops tasks of the step. Cause: only lost work was weighed.
 #[test]
 fn no_more_tasks_of_a_step_that_lasts_are_taken_away_than_may_be_missing() {
-    let mut bed = Bed::open(1, 3).idle(3);
+    let mut harness = Harness::new(1, 3).with_idle_workers(3);
     let lasts = Step { perpetual: true, may_miss: 1, ..step(3, 8) };
-    bed.owner.job("lasts", job(1, vec![lasts]), 150, None);
-    bed.step();
-    let at_work = |index| Run { percent: 100, ..bed::run(task("lasts", 0, index), 1) };
+    harness.owner.job("lasts", job(1, vec![lasts]), 150, None);
+    harness.tick();
+    let at_work = |index| Run { percent: 100, ..harness::run(task("lasts", 0, index), 1) };
     for number in 0..3u32 {
-        bed.status(u64::from(number), &[at_work(number)], &[]);
+        harness.report_status(u64::from(number), &[at_work(number)], &[]);
     }
-    bed.told();
+    harness.take_orders();
     let urgent = |now| {
         let mut job = job(0, vec![step(1, 8)]);
         job.queue.stretch = 1.5;
@@ -65,9 +65,9 @@
     };
     let mut told = Vec::new();
     for (number, name) in [(200, "u"), (201, "v")] {
-        bed.owner.job(name, urgent(bed.now), number, None);
-        bed.step();
-        told.push(format!("{name}: {}", bed.told()));
+        harness.owner.job(name, urgent(harness.now), number, None);
+        harness.tick();
+        told.push(format!("{name}: {}", harness.take_orders()));
     }
     assert_snapshot!(told.join("\n"), @r"
     u: w0 stop lasts.0.0.0 run 1
--- a/crates/dispatch/tests/unlisted.rs
+++ b/crates/dispatch/tests/unlisted.rs
@@ -1,8 +1,8 @@
 //! Runs that are believed at workers that do not list them.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, run, step, task};
+use harness::{Harness, job, run, step, task};
 use insta::assert_snapshot;
 use quincewheel_wire::Notice;
 
@@ -13,19 +13,19 @@
 // for remains of a former start at each look, and workers that the owner took for full were idle.
 #[test]
 fn a_run_that_an_idle_worker_does_not_list_is_stopped_and_starts_again() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
-    bed.step();
-    bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
-    bed.pass(100);
-    bed.status(0, &[], &[]);
-    bed.told();
-    bed.live(20_000, 1);
-    let stopped = bed.told();
-    bed.status(0, &[], &[]);
-    bed.notice(0, Notice::Stopped { task: task("a", 0, 0), run: 1 });
-    bed.step();
-    assert_snapshot!(format!("{stopped}\n-- stopped\n{}", bed.told()), @r"
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.tick();
+    harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
+    harness.advance(100);
+    harness.report_status(0, &[], &[]);
+    harness.take_orders();
+    harness.advance_with_pings(20_000, 1);
+    let stopped = harness.take_orders();
+    harness.report_status(0, &[], &[]);
+    harness.deliver(0, Notice::Stopped { task: task("a", 0, 0), run: 1 });
+    harness.tick();
+    assert_snapshot!(format!("{stopped}\n-- stopped\n{}", harness.take_orders()), @r"
     w0 stop a.0.0.0 run 1
     -- stopped
     w0 start a.0.0.0 run 2
--- a/crates/dispatch/tests/unproven.rs
+++ b/crates/dispatch/tests/unproven.rs
@@ -1,8 +1,8 @@
 //! Jobs that an entry tells the owner of, past the table's feed.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, step};
+use harness::{Harness, job, step};
 use insta::assert_snapshot;
 use quincewheel_dispatch::Unproven;
 
@@ -31,17 +31,17 @@
 // would be two jobs.
 #[test]
 fn a_job_that_is_told_twice_or_late_stays_one() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.loaded(100);
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    harness.owner.loaded(100);
     let row = job(1, vec![step(1, 1)]);
     for version in [150, 150, 90] {
-        bed.owner.job("a", row.clone(), version, None);
-        bed.step();
+        harness.owner.job("a", row.clone(), version, None);
+        harness.tick();
     }
-    bed.owner.cancel("a", bed.now);
-    bed.owner.job("a", row, 150, None);
-    bed.step();
-    assert_snapshot!(bed.told());
+    harness.owner.cancel("a", harness.now);
+    harness.owner.job("a", row, 150, None);
+    harness.tick();
+    assert_snapshot!(harness.take_orders());
 }
 
 // Load: urgent jobs have a quarter of a second to spare, and the table takes 200 ms for a write. Symptom:
@@ -49,13 +49,13 @@
 // owns was shown by such a write only; it is also sure for a while after each.
 #[test]
 fn an_owner_is_sure_of_itself_for_a_while_after_a_write() {
-    let mut bed = Bed::open(1, 1);
-    let claimed = bed.owner.surely_owns(bed.now);
-    bed.owner.renew(bed.now);
+    let mut harness = Harness::new(1, 1);
+    let claimed = harness.owner.surely_owns(harness.now);
+    harness.owner.renew(harness.now);
     let told: Vec<bool> =
-        [0, 400, 499, 500, 5000].map(|ms| bed.owner.surely_owns(bed.now + ms)).to_vec();
-    bed.owner.renew(bed.now - 300);
-    let earlier = bed.owner.surely_owns(bed.now + 300);
+        [0, 400, 499, 500, 5000].map(|ms| harness.owner.surely_owns(harness.now + ms)).to_vec();
+    harness.owner.renew(harness.now - 300);
+    let earlier = harness.owner.surely_owns(harness.now + 300);
     assert_snapshot!(format!("{claimed} {told:?} {earlier}"), @r"
     false [true, true, true, false, false] true
     ");
--- a/crates/dispatch/tests/upkeep.rs
+++ b/crates/dispatch/tests/upkeep.rs
@@ -1,8 +1,8 @@
 //! Waves of maintenance.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, run, step, task};
+use harness::{Harness, job, run, step, task};
 use insta::assert_snapshot;
 use quincewheel_dispatch::Taken;
 use quincewheel_dispatch::rows::Seen;
@@ -15,14 +15,14 @@
     Wave { number: 1, machines: names, duration, most }
 }
 
-fn list(bed: &mut Bed, conditions: &[Condition]) {
+fn list(harness: &mut Harness, conditions: &[Condition]) {
     let machine = |(number, condition): (usize, &Condition)| Machine {
         name: format!("m{number}"),
         condition: *condition,
         worker: format!("i{number}"),
     };
     let machines = conditions.iter().enumerate().map(machine).collect();
-    bed.owner.machines(machines, true, 1, bed.now);
+    harness.owner.machines(machines, true, 1, harness.now);
 }
 
 /// What a former owner recorded.
@@ -31,43 +31,43 @@
 }
 
 /// Passes `ms` while all agents ping.
-fn pass(bed: &mut Bed, ms: u64, agents: u64) {
+fn pass(harness: &mut Harness, ms: u64, agents: u64) {
     for _ in 0..ms / 500 {
-        bed.pass(500);
+        harness.advance(500);
         for number in 0..agents {
-            bed.notice(number, Notice::Ping { stamp: bed.now, silent: 0 });
+            harness.deliver(number, Notice::Ping { stamp: harness.now, silent: 0 });
         }
     }
-    bed.lines.retain(|line| line != "list");
+    harness.orders.retain(|line| line != "list");
 }
 
 /// Three idle machines and a wave that lets one be down at a time.
-fn begun(duration: u64) -> Bed {
-    let mut bed = Bed::open(1, 3).idle(3);
-    pass(&mut bed, 3000, 3);
-    bed.owner.wave(&wave(3, 1, duration), None, bed.now);
-    list(&mut bed, &[Condition::Up; 3]);
-    bed
+fn begun(duration: u64) -> Harness {
+    let mut harness = Harness::new(1, 3).with_idle_workers(3);
+    pass(&mut harness, 3000, 3);
+    harness.owner.wave(&wave(3, 1, duration), None, harness.now);
+    list(&mut harness, &[Condition::Up; 3]);
+    harness
 }
 
 #[test]
 fn machines_go_down_one_by_one_and_the_wave_is_done_when_all_have_begun() {
     use Condition::{Maintained, Up};
-    let mut bed = begun(60_000);
+    let mut harness = begun(60_000);
     let mut told = Vec::new();
     for (machine, during) in
         [("m0", [Maintained, Up, Up]), ("m1", [Up, Maintained, Up]), ("m2", [Up, Up, Maintained])]
     {
-        bed.step();
-        bed.owner.taken(1, machine, Taken::Begun, bed.now);
-        pass(&mut bed, 500, 3);
-        list(&mut bed, &during);
-        pass(&mut bed, 500, 3);
-        told.push(bed.told());
-        list(&mut bed, &[Up; 3]);
+        harness.tick();
+        harness.owner.taken(1, machine, Taken::Begun, harness.now);
+        pass(&mut harness, 500, 3);
+        list(&mut harness, &during);
+        pass(&mut harness, 500, 3);
+        told.push(harness.take_orders());
+        list(&mut harness, &[Up; 3]);
     }
-    bed.step();
-    told.push(bed.told());
+    harness.tick();
+    told.push(harness.take_orders());
     assert_snapshot!(told.join("\n--\n"), @r"
     wave 1 done false
     take m0 for 1
@@ -85,15 +85,15 @@
 // answer and is carried out late. Cause: it counted as not begun.
 #[test]
 fn a_machine_whose_call_got_no_answer_counts_as_down_and_is_called_again() {
-    let mut bed = begun(60_000);
-    bed.step();
-    let first = bed.told();
-    bed.owner.taken(1, "m0", Taken::Unclear, bed.now);
-    list(&mut bed, &[Condition::Up; 3]);
-    pass(&mut bed, 1000, 3);
-    let waiting = bed.told();
-    pass(&mut bed, 1000, 3);
-    assert_snapshot!(format!("{first}\n-- no answer\n{waiting}\n-- 2 s\n{}", bed.told()), @r"
+    let mut harness = begun(60_000);
+    harness.tick();
+    let first = harness.take_orders();
+    harness.owner.taken(1, "m0", Taken::Unclear, harness.now);
+    list(&mut harness, &[Condition::Up; 3]);
+    pass(&mut harness, 1000, 3);
+    let waiting = harness.take_orders();
+    pass(&mut harness, 1000, 3);
+    assert_snapshot!(format!("{first}\n-- no answer\n{waiting}\n-- 2 s\n{}", harness.take_orders()), @r"
     wave 1 done false
     list
     take m0 for 1
@@ -106,23 +106,23 @@
 
 #[test]
 fn a_busy_machine_takes_nothing_new_and_goes_down_once_idle_or_when_time_presses() {
-    let mut bed = Bed::open(1, 1).idle(1);
-    pass(&mut bed, 3000, 1);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
-    bed.step();
-    bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
-    bed.told();
-    bed.owner.wave(&wave(1, 1, 10_000), None, bed.now);
-    list(&mut bed, &[Condition::Up]);
-    bed.step();
-    bed.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
-    pass(&mut bed, 500, 1);
-    let busy = bed.told();
+    let mut harness = Harness::new(1, 1).with_idle_workers(1);
+    pass(&mut harness, 3000, 1);
+    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.tick();
+    harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
+    harness.take_orders();
+    harness.owner.wave(&wave(1, 1, 10_000), None, harness.now);
+    list(&mut harness, &[Condition::Up]);
+    harness.tick();
+    harness.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
+    pass(&mut harness, 500, 1);
+    let busy = harness.take_orders();
     for percent in [20, 30, 40, 50, 60, 70] {
-        pass(&mut bed, 1000, 1);
-        bed.status(0, &[Run { percent, ..run(task("a", 0, 0), 1) }], &[]);
+        pass(&mut harness, 1000, 1);
+        harness.report_status(0, &[Run { percent, ..run(task("a", 0, 0), 1) }], &[]);
     }
-    assert_snapshot!(format!("{busy}\n-- when time presses\n{}", bed.told()), @r"
+    assert_snapshot!(format!("{busy}\n-- when time presses\n{}", harness.take_orders()), @r"
     wave 1 done false
     -- when time presses
     take m0 for 1
@@ -133,23 +133,23 @@
 // wave run tasks of the step, one of which may be missing. Cause: the wave did not look.
 #[test]
 fn a_machine_stays_up_while_a_step_that_lasts_cannot_miss_its_tasks() {
-    let mut bed = Bed::open(1, 2).idle(2);
-    pass(&mut bed, 3000, 2);
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
+    pass(&mut harness, 3000, 2);
     let lasts = Step { perpetual: true, may_miss: 1, ..step(2, 8) };
-    bed.owner.job("a", job(1, vec![lasts]), 150, None);
-    bed.step();
+    harness.owner.job("a", job(1, vec![lasts]), 150, None);
+    harness.tick();
     let at_work = |index| Run { percent: 100, ..run(task("a", 0, index), 1) };
-    bed.status(0, &[at_work(0)], &[]);
-    bed.status(1, &[at_work(1)], &[]);
-    bed.told();
-    bed.owner.wave(&wave(2, 2, 60_000), None, bed.now);
-    list(&mut bed, &[Condition::Up; 2]);
-    bed.step();
-    let first = bed.told();
-    bed.owner.taken(1, "m0", Taken::Begun, bed.now);
-    bed.notice(0, Notice::Left { worker: "i0".into() });
-    pass(&mut bed, 1000, 2);
-    assert_snapshot!(format!("{first}\n-- one is away\n{}", bed.told()), @r"
+    harness.report_status(0, &[at_work(0)], &[]);
+    harness.report_status(1, &[at_work(1)], &[]);
+    harness.take_orders();
+    harness.owner.wave(&wave(2, 2, 60_000), None, harness.now);
+    list(&mut harness, &[Condition::Up; 2]);
+    harness.tick();
+    let first = harness.take_orders();
+    harness.owner.taken(1, "m0", Taken::Begun, harness.now);
+    harness.deliver(0, Notice::Left { worker: "i0".into() });
+    pass(&mut harness, 1000, 2);
+    assert_snapshot!(format!("{first}\n-- one is away\n{}", harness.take_orders()), @r"
     wave 1 done false
     list
     take m0 for 1
@@ -161,13 +161,13 @@
 // Symptom: two owners order one machine by turns. Cause: a new owner began at once.
 #[test]
 fn a_new_owner_gives_no_orders_to_machines_before_the_former_ones_turn_is_over() {
-    let mut bed = Bed::open(2, 1).idle(1);
-    bed.owner.wave(&wave(1, 1, 60_000), Some(seen(false)), bed.now);
-    list(&mut bed, &[Condition::Up]);
-    pass(&mut bed, 2500, 1);
-    let early = bed.told();
-    pass(&mut bed, 1000, 1);
-    assert_snapshot!(format!("{early}\n-- 3 s\n{}", bed.told()), @r"
+    let mut harness = Harness::new(2, 1).with_idle_workers(1);
+    harness.owner.wave(&wave(1, 1, 60_000), Some(seen(false)), harness.now);
+    list(&mut harness, &[Condition::Up]);
+    pass(&mut harness, 2500, 1);
+    let early = harness.take_orders();
+    pass(&mut harness, 1000, 1);
+    assert_snapshot!(format!("{early}\n-- 3 s\n{}", harness.take_orders()), @r"
     wave 1 done false
     -- 3 s
     take m0 for 1
@@ -179,20 +179,20 @@
 // it is done; the worker lives. Cause: the machine counted as about to go.
 #[test]
 fn a_machine_that_was_down_under_a_former_owner_goes_on_taking_work() {
-    let mut bed = Bed::open(2, 1).idle(1);
-    pass(&mut bed, 3000, 1);
-    bed.owner.wave(&wave(1, 1, 60_000), Some(seen(false)), bed.now);
-    list(&mut bed, &[Condition::Up]);
-    bed.step();
-    bed.owner.taken(1, "m0", Taken::Begun, bed.now);
-    bed.told();
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
-    bed.step();
-    let before = bed.told();
-    pass(&mut bed, 500, 1);
-    list(&mut bed, &[Condition::Up]);
-    bed.step();
-    assert_snapshot!(format!("{before}\n-- listed\n{}", bed.told()), @r"
+    let mut harness = Harness::new(2, 1).with_idle_workers(1);
+    pass(&mut harness, 3000, 1);
+    harness.owner.wave(&wave(1, 1, 60_000), Some(seen(false)), harness.now);
+    list(&mut harness, &[Condition::Up]);
+    harness.tick();
+    harness.owner.taken(1, "m0", Taken::Begun, harness.now);
+    harness.take_orders();
+    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.tick();
+    let before = harness.take_orders();
+    pass(&mut harness, 500, 1);
+    list(&mut harness, &[Condition::Up]);
+    harness.tick();
+    assert_snapshot!(format!("{before}\n-- listed\n{}", harness.take_orders()), @r"
     wave 1 done true
     -- listed
     w0 start a.0.0.0 run 1001
@@ -203,17 +203,17 @@
 // Cause: only its begin was recorded.
 #[test]
 fn a_wave_that_is_through_stays_so_under_a_later_owner() {
-    let mut bed = begun(60_000);
+    let mut harness = begun(60_000);
     for number in 0..3 {
-        bed.owner.taken(1, &format!("m{number}"), Taken::Begun, bed.now);
+        harness.owner.taken(1, &format!("m{number}"), Taken::Begun, harness.now);
     }
-    pass(&mut bed, 500, 3);
-    let recorded = bed.record().waves;
-    let mut later = Bed::open(2, 1).idle(1);
+    pass(&mut harness, 500, 3);
+    let recorded = harness.record().waves;
+    let mut later = Harness::new(2, 1).with_idle_workers(1);
     later.owner.wave(&wave(1, 1, 60_000), Some(seen(true)), later.now);
     list(&mut later, &[Condition::Up]);
     pass(&mut later, 4000, 1);
-    assert_snapshot!(format!("{recorded:?}\n{}", later.told()), @r"
+    assert_snapshot!(format!("{recorded:?}\n{}", later.take_orders()), @r"
     [(1, Seen { at: 13000, done: true })]
     wave 1 done true
     ");
@@ -224,20 +224,20 @@
 // machine's place. Cause: a machine that is not listed counts as gone.
 #[test]
 fn a_machine_whose_entry_cannot_be_read_is_not_taken_for_gone() {
-    let mut bed = Bed::open(1, 2).idle(2);
-    pass(&mut bed, 3000, 2);
-    bed.owner.wave(&wave(2, 2, 60_000), None, bed.now);
+    let mut harness = Harness::new(1, 2).with_idle_workers(2);
+    pass(&mut harness, 3000, 2);
+    harness.owner.wave(&wave(2, 2, 60_000), None, harness.now);
     let first = Machine { name: "m0".into(), condition: Condition::Up, worker: "i0".into() };
-    bed.owner.machines(vec![first.clone()], false, 1, bed.now);
-    bed.step();
-    bed.owner.taken(1, "m0", Taken::Begun, bed.now);
-    pass(&mut bed, 500, 2);
-    let unread = bed.told();
-    list(&mut bed, &[Condition::Maintained, Condition::Up]);
-    bed.step();
-    bed.owner.taken(1, "m1", Taken::Begun, bed.now);
+    harness.owner.machines(vec![first.clone()], false, 1, harness.now);
+    harness.tick();
+    harness.owner.taken(1, "m0", Taken::Begun, harness.now);
+    pass(&mut harness, 500, 2);
+    let unread = harness.take_orders();
+    list(&mut harness, &[Condition::Maintained, Condition::Up]);
+    harness.tick();
+    harness.owner.taken(1, "m1", Taken::Begun, harness.now);
     // Known before, m1 holds beside an entry that cannot be read.
-    bed.owner.machines(vec![first], false, 1, bed.now);
-    bed.step();
-    assert_snapshot!(format!("{unread}\n--\n{}", bed.told()));
+    harness.owner.machines(vec![first], false, 1, harness.now);
+    harness.tick();
+    assert_snapshot!(format!("{unread}\n--\n{}", harness.take_orders()));
 }
