--- a/crates/dispatch/tests/crashes.rs
+++ b/crates/dispatch/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash each worker that starts them, and tasks that run beside them.
+//! Tasks that crash every worker that starts them, and tasks that run beside them.
 
 mod crashing_pool;
 mod harness;
@@ -10,14 +10,13 @@
 use quincewheel_job::{Task, Worker};
 use quincewheel_wire::Notice;
 
-// Symptom: one task is started on all eleven workers within 6 s, and each crashes within 10 ms
-// of its start; what runs beside it is lost each time, and it begins anew as soon as workers are
-// back. Sequence: a worker confirms the start and its process is gone; the platform's list no
-// longer names that life; the owner takes the run for lost and starts the task elsewhere in the
-// same round. Cause: only ends that a worker lists as failed counted as attempts, and a worker
-// that crashes lists none.
+// One task was started on all eleven workers within 6 s; each crashed within 10 ms of the start,
+// and whatever ran beside it was lost each time and started again as soon as workers were back. The
+// worker confirms the start and dies, the platform's list no longer names that incarnation, so the
+// owner considers the run lost and starts the task elsewhere in the same round. Only ends that a
+// worker listed as failed counted as attempts, and a worker that crashes lists none.
 #[test]
-fn a_task_that_crashes_each_worker_is_given_up() {
+fn task_that_crashes_every_worker_fails_after_three_crashes() {
     let mut pool = CrashingPool::new(1, 11);
     pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(1, 4)]), 150);
@@ -29,30 +28,29 @@
     );
 }
 
-// Symptom: as above, where workers start again under the ids that they had, and no list tells that
-// they were gone. Cause: a crash counts once another incarnation reports, and was forgotten where
-// the worker's id was the same.
+// The same where workers restart under the same id and no machine list shows that they were down. A
+// crash counts once another incarnation reports; it was forgotten if that one had the same id.
 #[test]
-fn a_task_that_crashes_workers_which_keep_their_ids_is_given_up() {
+fn task_that_crashes_workers_that_keep_their_ids_fails() {
     let mut pool = CrashingPool::new(1, 4);
     pool.harness.owner.tune(Settings::default());
     pool.keeps_worker_ids = true;
     pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(1, 4)]), 150);
     pool.advance(60_000);
-    let state = pool.harness.owner.has_ended("bad");
+    let ended = pool.harness.owner.has_ended("bad");
     assert_snapshot!(
-        format!("{} starts, {} crashes, ended {state}", pool.starts.len(), pool.crashes),
+        format!("{} starts, {} crashes, ended {ended}", pool.starts.len(), pool.crashes),
         @"3 starts, 3 crashes, ended true"
     );
 }
 
-// Symptom: a sound job is given up beside a bad one. Sequence: the pool has lost its workers; all
-// that waits starts in one round where the first one is back, the bad task among it, and is lost
-// with it; so again at the next. Cause: what had just started when a worker crashed was counted,
-// and nothing told who had done it.
+// A sound job failed beside a crashing one. After the pool has lost its workers, all waiting tasks
+// start in one round at the first worker that is back, the crashing task among them, and are lost
+// with it; the same happens at the next worker. Everything that had just started when a worker
+// crashed was counted, with nothing to tell which task was the cause.
 #[test]
-fn a_task_that_starts_beside_a_bad_one_is_not_given_up() {
+fn task_started_beside_a_crashing_one_does_not_fail() {
     let mut pool = CrashingPool::new(1, 1);
     pool.crashing_jobs = vec!["bad"];
     for (name, version) in [("a", 150), ("bad", 151), ("c", 152)] {
@@ -67,10 +65,10 @@
     ");
 }
 
-// Symptom: as above, where many jobs wait and several are bad. Each bad one costs three workers
-// at most, no sound one is given up.
+// The same where many jobs wait and several of them crash workers: each of those costs at most
+// three workers, and no sound one fails.
 #[test]
-fn several_bad_tasks_are_told_from_the_sound_ones() {
+fn several_crashing_tasks_are_told_apart_from_sound_ones() {
     let mut pool = CrashingPool::new(1, 2);
     pool.crashing_jobs = vec!["bad1", "bad2"];
     let jobs = ["a", "bad1", "c", "bad2", "e", "f"];
@@ -85,11 +83,10 @@
     assert_snapshot!(format!("{ended:?} {most:?}"), @r#"["bad1", "bad2"] Some(3)"#);
 }
 
-// Symptom: the same task takes workers down again under each new owner. Sequence: a task has
-// crashed two workers; the owner is replaced; the new one starts from nothing. Cause: the count
-// was not recorded.
+// The same task crashed workers again under each new owner: the task has crashed two workers when
+// the owner is replaced, and the crash count was not recorded.
 #[test]
-fn a_new_owner_knows_of_crashes_before() {
+fn crash_count_survives_a_change_of_owner() {
     let mut pool = CrashingPool::new(1, 11);
     pool.crashing_jobs = vec!["bad"];
     let bad = job(1, vec![step(1, 4)]);
@@ -105,10 +102,9 @@
     ");
 }
 
-// Symptom: as above, while the table takes no writes. Nothing of the job starts until the table
-// has the crash.
+// While the table accepts no writes, nothing of a job starts until its crash is recorded.
 #[test]
-fn a_task_waits_until_its_crash_is_recorded() {
+fn job_does_not_start_until_its_crash_is_recorded() {
     let mut pool = CrashingPool::new(1, 11);
     pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(1, 4)]), 150);
@@ -126,10 +122,10 @@
     ");
 }
 
-// Tasks of one job are alike: the first that is suspected is tried by itself, and the others do
-// not cost a worker each.
+// Tasks of one job are alike: the first suspect is tried alone, and the others do not cost a worker
+// each.
 #[test]
-fn other_tasks_of_a_bad_job_wait_for_the_first() {
+fn other_tasks_of_a_suspected_job_wait_for_the_first_suspect() {
     let mut pool = CrashingPool::new(1, 11);
     pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(20, 8)]), 150);
@@ -138,9 +134,9 @@
     assert_snapshot!(format!("{before} {}", pool.summary("bad")), @"0 bad: 13 starts, ended");
 }
 
-// A gang is given up as one, by its starts.
+// A gang is counted as one, by its starts.
 #[test]
-fn a_gang_that_crashes_workers_is_given_up() {
+fn gang_that_crashes_workers_fails_as_one() {
     let mut pool = CrashingPool::new(1, 11);
     pool.crashing_jobs = vec!["bad"];
     let mut bad = job(1, vec![step(3, 8)]);
@@ -153,10 +149,10 @@
     ");
 }
 
-// A worker that crashes by itself, just after a start by chance, ends nobody's job, and a task
-// that has outlived a start begins its count anew.
+// A worker that happens to crash just after a start fails nobody's job: a task that has outlived a
+// start begins its count anew.
 #[test]
-fn crashes_that_come_by_chance_are_forgotten() {
+fn crashes_by_chance_are_forgotten_once_a_start_is_outlived() {
     let mut pool = CrashingPool::new(1, 4);
     pool.submit("a", job(1, vec![step(1, 8)]), 150);
     for _ in 0..6 {
@@ -167,7 +163,7 @@
         let number = pool.running.iter().position(|runs| !runs.is_empty()).unwrap_or(0);
         let run = pool.running[number][0].clone();
         pool.crash(number as u64, vec![(run.task, run.number)]);
-        // It outlives every second start.
+        // The task outlives every second start.
         while pool.running.iter().all(Vec::is_empty) {
             pool.advance(10);
         }
@@ -181,9 +177,9 @@
     ");
 }
 
-// A worker that ends in good order breaks its connections, too.
+// A worker that shuts down in good order breaks its connections, too.
 #[test]
-fn a_worker_that_leaves_has_not_crashed() {
+fn orderly_worker_shutdown_is_not_a_crash() {
     let mut pool = CrashingPool::new(1, 2);
     pool.submit("a", job(1, vec![step(1, 8)]), 150);
     pool.advance(10);
@@ -200,12 +196,12 @@
     assert_snapshot!(pool.harness.take_logs(), @"nothing");
 }
 
-// Symptom: as at first, on platforms that list no machines, and where the list comes late. Sequence:
-// the worker's next life answers a look that was meant for the former one before it reports itself;
-// its agent knows no worker until then, and says so. Cause: the life that reports next was compared
+// A task kept crashing workers on platforms that list no machines, and where the list comes late.
+// The next incarnation answers a poll that was meant for the former one before it reports itself;
+// until then its agent knows no worker and says so. The incarnation that reported next was compared
 // with none, and the crash was not counted.
 #[test]
-fn a_crash_counts_when_the_next_life_is_known_only_later() {
+fn crash_counts_when_the_next_incarnation_reports_late() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
@@ -223,9 +219,9 @@
     );
 }
 
-// An owner that is told late, when the next life is there already.
+// The owner receives the report of a crash when the next incarnation is already known.
 #[test]
-fn a_crash_of_a_life_before_the_one_that_is_there_counts_at_once() {
+fn crash_of_an_earlier_incarnation_counts_at_once() {
     let mut harness = Harness::new(1, 1);
     harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     let mut harness = harness.with_idle_workers(1);
@@ -240,41 +236,42 @@
     ");
 }
 
-// Symptom: a sound job of many tasks stands still for seconds beside a bad one. Sequence: seven of
-// its tasks start in one round with the bad task, at one worker, and are lost with it; each is tried
-// by itself, and its other tasks wait. Cause: that the bad task had been found meanwhile, alone at
-// another worker, cleared nobody.
+// A sound job of many tasks stood still for seconds beside a crashing one. Seven of its tasks start
+// in one round with the crashing task at one worker and are lost with it; each is then tried alone
+// while the job's other tasks wait. Identifying the crashing task alone at another worker cleared
+// none of them.
 #[test]
-fn those_that_were_lost_beside_a_bad_task_are_cleared_when_it_is_found() {
+fn tasks_lost_beside_a_crashing_one_are_cleared_when_it_is_identified() {
     let mut pool = CrashingPool::new(1, 8);
     pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(1, 1)]), 150);
     pool.submit("a", job(1, vec![step(20, 1)]), 151);
     let begin = pool.harness.now;
-    let mut all = 0;
-    while all == 0 && pool.harness.now < begin + 30_000 {
+    let mut all_running_after = 0;
+    while all_running_after == 0 && pool.harness.now < begin + 30_000 {
         pool.advance(10);
         let runs = pool.running.iter().flatten().filter(|run| run.task.job == "a").count();
-        all = if runs == 20 { pool.harness.now - begin } else { 0 };
+        all_running_after = if runs == 20 { pool.harness.now - begin } else { 0 };
     }
-    // Twice what tells that a worker is gone, and the time between two starts at one worker.
-    assert!((1..=1000).contains(&all), "all run after {all} ms");
+    // Twice the time to detect a crash, plus the minimum time between two starts at one worker.
+    assert!((1..=1000).contains(&all_running_after), "all run after {all_running_after} ms");
 }
 
-// A task that has outlived a start crashes no workers: lost beside others later, it is not the cause.
-// But what was taken for outliving may have been an old list, held up on its way: alone, it counts.
+// A task that has outlived a start crashes no workers: when it is lost beside others later, it is
+// not the cause. But the listing that showed it may have been an old one, delayed on its way, so a
+// crash that it was alone in counts.
 #[test]
-fn a_task_that_has_outlived_a_start_is_suspected_only_if_it_was_alone() {
+fn task_that_outlived_a_start_is_suspected_only_if_it_was_alone() {
     let mut pool = CrashingPool::new(1, 2);
     pool.submit("a", job(1, vec![step(1, 8)]), 150);
     pool.advance(4000);
     for others in [1, 0] {
-        let place = pool.running.iter().position(|runs| !runs.is_empty()).unwrap_or(0) as u64;
-        let run = pool.running[place as usize][0].clone();
+        let number = pool.running.iter().position(|runs| !runs.is_empty()).unwrap_or(0) as u64;
+        let run = pool.running[number as usize][0].clone();
         let other = Task { job: "other".into(), ..run.task.clone() };
         let mut starts = vec![(run.task, run.number)];
         starts.extend((0..others).map(|_| (other.clone(), 1)));
-        pool.crash(place, starts);
+        pool.crash(number, starts);
         pool.advance(500);
     }
     assert_snapshot!(
@@ -283,16 +280,16 @@
     );
 }
 
-// Symptom: each crash of a bad task costs a full worker. Sequence: no worker is idle; the suspect is
-// put where it leaves the least room over, as any task. Cause: nothing weighed what is lost with the
-// worker that it may crash.
+// Each crash of a crashing task cost a full worker. With no worker idle, the suspect was placed
+// where it left the least capacity unused, as any task; the work that would be lost with the worker
+// was not weighed.
 #[test]
-fn a_suspect_starts_where_the_least_runs() {
+fn suspect_starts_at_the_worker_with_the_least_work() {
     let mut pool = CrashingPool::new(1, 4);
     pool.crashing_jobs = vec!["bad"];
     for (name, version, count) in [("a", 150, 6), ("b", 151, 3), ("c", 152, 5), ("d", 153, 4)] {
         let mut busy = job(1, vec![step(1, count)]);
-        // Apart from one another.
+        // Large enough that no two of them share a worker.
         busy.steps[0].need.cpu = 40_000;
         pool.submit(name, busy, version);
     }
@@ -300,15 +297,15 @@
     pool.submit("bad", job(1, vec![step(1, 1)]), 160);
     pool.advance(3000);
     let starts = pool.starts.iter().zip(&pool.start_agents);
-    let start_agents: Vec<u64> =
-        starts.filter(|(task, _)| *task == "bad.0.0.0").map(|(_, place)| *place).collect();
-    assert_snapshot!(format!("{start_agents:?}"), @"[0, 1, 3]");
+    let agents: Vec<u64> =
+        starts.filter(|(task, _)| *task == "bad.0.0.0").map(|(_, agent)| *agent).collect();
+    assert_snapshot!(format!("{agents:?}"), @"[0, 1, 3]");
 }
 
-// Symptom: a sound task is lost with a bad one, and suspected. Sequence: a suspect starts; before its
-// worker has crashed, a job arrives and starts beside it. For 300 ms nothing else starts there.
+// A sound task was lost with a crashing one and suspected: a suspect starts, and before its worker
+// has crashed a job arrives and starts beside it. For 300 ms nothing else starts there.
 #[test]
-fn nothing_starts_beside_a_suspect_that_has_just_started() {
+fn nothing_starts_beside_a_suspect_for_300_ms() {
     let mut pool = CrashingPool::new(1, 1);
     pool.submit("a", job(1, vec![step(1, 1)]), 150);
     pool.advance(10);
@@ -317,28 +314,28 @@
     while pool.running[0].is_empty() {
         pool.advance(10);
     }
-    let tried = pool.harness.now;
+    let suspect_started_at = pool.harness.now;
     pool.submit("b", job(1, vec![step(1, 1)]), 151);
     while pool.running[0].len() < 2 {
         pool.advance(10);
     }
-    let later = pool.harness.now - tried;
-    assert!((300..400).contains(&later), "{later} ms later");
+    let delay = pool.harness.now - suspect_started_at;
+    assert!((300..400).contains(&delay), "{delay} ms later");
 }
 
-// Symptom: a gang is started 25 times after three workers have crashed under it. Sequence: it starts;
-// the worker of the member that crashes workers is lost, and its agent does not see by what; the
-// other members wait for that one, listed by their workers for seconds. Cause: all members that were
-// left had outlived the start, so the gang was taken for one that crashes no workers, for good.
+// A gang was started 25 times after three workers had crashed under it. The worker of the crashing
+// member is lost, and its agent does not see why; the other members wait for that one, listed by
+// their workers for seconds. All members that were left had outlived the start, so the gang was
+// considered harmless for good.
 #[test]
-fn members_that_wait_for_another_do_not_clear_their_gang() {
+fn members_waiting_for_a_lost_one_do_not_clear_their_gang() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let mut gang = job(1, vec![step(2, 8)]);
     gang.steps[0].gang = true;
     harness.owner.job("a", gang, 150, None);
     harness.tick();
     harness.logged_events = vec!["crash suspected"];
-    // The first member's worker is gone; the second waits.
+    // The first member's worker restarted; the second member waits for it.
     let (stamp, running, ended) = (harness.now, Vec::new(), Vec::new());
     let other = Some(Worker { id: "i0-2".into(), ..harness::worker(0) });
     harness.deliver(0, Notice::Status { stamp, worker: other, fenced: false, running, ended });
@@ -357,12 +354,12 @@
     );
 }
 
-// Symptom: a job has a task left, the pool has room, and nothing starts until the end. Sequence: a
-// worker crashes just after tasks start there; they start elsewhere and are done; a new owner is told
-// of the crash, late, and counts it against them. Cause: a task that is done never starts again, so
+// A job had a task left, the pool had free capacity, and nothing started until the end. A worker
+// crashes just after tasks start there; they start elsewhere and end; a new owner receives the
+// report of the crash late and counts it against them. A task that is done never starts again, so
 // it was never cleared, and the other tasks of its step waited for it without end.
 #[test]
-fn a_crash_under_a_task_that_is_done_holds_nothing_up() {
+fn late_crash_report_of_a_done_task_does_not_block_its_step() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     harness.owner.job("a", job(1, vec![step(2, 8)]), 150, None);
     harness.tick();
@@ -383,24 +380,24 @@
     assert_snapshot!(harness.take_orders(), @"w0 start a.0.0.1 run 1001");
 }
 
-// The other way round: a suspect waits where something else has just started, or a crash there would
-// be blamed on both.
+// The reverse: a suspect waits where something else has just started, since a crash there would be
+// blamed on both.
 #[test]
-fn a_suspect_does_not_start_beside_what_has_just_started() {
+fn suspect_waits_300_ms_after_the_last_start_at_a_worker() {
     let mut pool = CrashingPool::new(1, 1);
     pool.submit("a", job(1, vec![step(1, 1)]), 150);
     pool.advance(10);
     let run = pool.running[0][0].clone();
     pool.crash(0, vec![(run.task, run.number)]);
-    // It comes first, as its priority says.
+    // Its priority puts it before the suspect.
     pool.submit("b", job(0, vec![step(1, 1)]), 151);
     while pool.running[0].is_empty() {
         pool.advance(10);
     }
-    let first = pool.harness.now;
+    let other_started_at = pool.harness.now;
     while pool.running[0].len() < 2 {
         pool.advance(10);
     }
-    let later = pool.harness.now - first;
-    assert!((300..400).contains(&later), "{later} ms later");
+    let delay = pool.harness.now - other_started_at;
+    assert!((300..400).contains(&delay), "{delay} ms later");
 }
