--- a/crates/dispatch/tests/waits.rs
+++ b/crates/dispatch/tests/waits.rs
@@ -1,7 +1,6 @@
-//! What is told of work whose turn has come and that does not start.
-//!
-//! Symptom of all: a job is accepted and stands still, and no line says why.
-//! Cause: only what was decided was told, not what kept a decision from being made.
+//! Log lines about steps that are due and do not start: without them an accepted job stands still
+//! and no line says why, since only decisions were logged and not what kept a decision from being
+//! made.
 
 mod harness;
 
@@ -10,35 +9,36 @@
 use quincewheel_job::{Advice, Config, How, Job, Need, Step, Team};
 use quincewheel_wire::Notice;
 
-/// An owner with idle workers, whose lines about waits are kept.
-fn open(agents: u64) -> Harness {
+/// Creates an owner with idle workers that collects the log lines about waiting steps.
+fn idle_owner(agents: u64) -> Harness {
     let mut harness = Harness::new(1, agents).with_idle_workers(agents);
     harness.logged_events = vec!["waits", "waits left out", "unsettled"];
     harness
 }
 
-/// Adds a job that was accepted now.
-fn add(harness: &mut Harness, id: &str, version: u64, job: Job) {
+/// Adds a job that is accepted now.
+fn add_job(harness: &mut Harness, id: &str, version: u64, job: Job) {
     let accepted = harness.now;
     harness.owner.job(id, Job { accepted, ..job }, version, None);
     harness.tick();
 }
 
-fn wide(count: u32) -> Step {
+/// Returns a gang of whole workers that must share a rack.
+fn rack_gang(count: u32) -> Step {
     Step { gang: true, same_rack: true, ..step(count, 8) }
 }
 
 #[test]
-fn a_full_pool_is_told_once_and_only_after_a_while() {
-    let mut harness = open(1);
-    add(&mut harness, "a", 150, job(1, vec![step(1, 8)]));
-    add(&mut harness, "b", 151, job(1, vec![step(2, 4)]));
+fn full_pool_is_logged_once_after_one_second() {
+    let mut harness = idle_owner(1);
+    add_job(&mut harness, "a", 150, job(1, vec![step(1, 8)]));
+    add_job(&mut harness, "b", 151, job(1, vec![step(2, 4)]));
     harness.advance_with_pings(900, 1);
     let before = harness.take_logs();
     harness.advance_with_pings(100, 1);
-    let told = harness.take_logs();
+    let after_1s = harness.take_logs();
     harness.advance_with_pings(5000, 1);
-    assert_snapshot!(format!("{before}\n{told}\n{}", harness.take_logs()), @r"
+    assert_snapshot!(format!("{before}\n{after_1s}\n{}", harness.take_logs()), @r"
     nothing
     waits b: b.0.0, 2 tasks, 1000 ms: no room: room for 0 of 2, for 2 if nothing ran
     nothing
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn work_that_starts_in_time_is_not_told() {
-    let mut harness = open(1);
-    add(&mut harness, "a", 150, job(1, vec![step(1, 8)]));
-    add(&mut harness, "b", 151, job(1, vec![step(1, 8)]));
+fn step_that_starts_in_time_is_not_logged() {
+    let mut harness = idle_owner(1);
+    add_job(&mut harness, "a", 150, job(1, vec![step(1, 8)]));
+    add_job(&mut harness, "b", 151, job(1, vec![step(1, 8)]));
     harness.advance_with_pings(900, 1);
     harness.report_status(0, &[], &[end(1, task("a", 0, 0), 1, How::Done)]);
     harness.advance_with_pings(2000, 1);
@@ -57,10 +57,10 @@
 }
 
 #[test]
-fn another_cause_is_told_again() {
-    let mut harness = open(2);
-    add(&mut harness, "a", 150, job(1, vec![step(2, 8)]));
-    add(&mut harness, "b", 151, job(1, vec![Step { label: "r0".into(), ..step(1, 8) }]));
+fn wait_is_logged_again_when_its_cause_changes() {
+    let mut harness = idle_owner(2);
+    add_job(&mut harness, "a", 150, job(1, vec![step(2, 8)]));
+    add_job(&mut harness, "b", 151, job(1, vec![Step { label: "r0".into(), ..step(1, 8) }]));
     harness.advance_with_pings(1000, 2);
     let full = harness.take_logs();
     for number in 0..2 {
@@ -70,7 +70,7 @@
         let worker = Some(worker);
         harness.deliver(number, Notice::Status { stamp, worker, fenced: true, running, ended });
     }
-    add(&mut harness, "c", 152, job(1, vec![step(1, 8)]));
+    add_job(&mut harness, "c", 152, job(1, vec![step(1, 8)]));
     harness.advance_with_pings(900, 2);
     let drained = harness.take_logs();
     harness.advance_with_pings(3000, 2);
@@ -85,14 +85,14 @@
 }
 
 #[test]
-fn labels_pools_and_sizes_that_no_worker_has_are_told() {
-    let mut harness = open(2);
-    let other = job(1, vec![step(1, 1)]);
-    let mut pool = other.clone();
-    pool.queue.pool = "elsewhere".into();
-    add(&mut harness, "pool", 150, pool);
-    add(&mut harness, "label", 151, job(1, vec![Step { label: "x".into(), ..step(1, 1) }]));
-    add(&mut harness, "size", 152, job(1, vec![wide(3)]));
+fn missing_label_pool_or_size_is_logged() {
+    let mut harness = idle_owner(2);
+    let plain = job(1, vec![step(1, 1)]);
+    let mut other_pool = plain.clone();
+    other_pool.queue.pool = "elsewhere".into();
+    add_job(&mut harness, "pool", 150, other_pool);
+    add_job(&mut harness, "label", 151, job(1, vec![Step { label: "x".into(), ..step(1, 1) }]));
+    add_job(&mut harness, "size", 152, job(1, vec![rack_gang(3)]));
     harness.advance_with_pings(2000, 2);
     assert_snapshot!(harness.take_logs(), @r"
     waits label: label.0.0, 1 tasks, 1000 ms: no worker of the label: x in pool p
@@ -102,54 +102,54 @@
 }
 
 #[test]
-fn whole_workers_spared_for_urgent_work_are_told() {
-    let mut harness = open(6);
+fn workers_reserved_for_urgent_work_are_logged() {
+    let mut harness = idle_owner(6);
     let need = Need { cpu: 60_000, memory: 250_000, accelerators: 8 };
-    let mut easy = job(1, vec![Step { estimate: 9000, need, ..step(1, 8) }]);
-    easy.queue.stretch = 3.0;
+    let mut relaxed = job(1, vec![Step { estimate: 9000, need, ..step(1, 8) }]);
+    relaxed.queue.stretch = 3.0;
     for number in 0..6 {
-        add(&mut harness, &format!("easy{number}"), 150 + number, easy.clone());
+        add_job(&mut harness, &format!("easy{number}"), 150 + number, relaxed.clone());
     }
     harness.advance_with_pings(1000, 6);
     assert_snapshot!(harness.take_logs(), @"waits easy5: easy5.0.0, 1 tasks, 1000 ms: room spared for urgent work: room for 1 of 1, for 1 if nothing ran");
 }
 
 #[test]
-fn a_gang_that_waits_for_one_rack_is_told() {
-    let mut harness = open(6);
-    add(&mut harness, "a", 150, job(1, vec![Step { label: "r0".into(), ..step(2, 8) }]));
-    add(&mut harness, "b", 151, job(1, vec![Step { label: "r1".into(), ..step(2, 8) }]));
-    add(&mut harness, "c", 152, job(0, vec![wide(2)]));
+fn gang_that_waits_for_a_single_rack_is_logged() {
+    let mut harness = idle_owner(6);
+    add_job(&mut harness, "a", 150, job(1, vec![Step { label: "r0".into(), ..step(2, 8) }]));
+    add_job(&mut harness, "b", 151, job(1, vec![Step { label: "r1".into(), ..step(2, 8) }]));
+    add_job(&mut harness, "c", 152, job(0, vec![rack_gang(2)]));
     harness.advance_with_pings(1000, 6);
     assert_snapshot!(harness.take_logs(), @"waits c: c.0.0, 2 tasks, 1000 ms: waits for one rack: room for 2 of 2, for 2 if nothing ran");
 }
 
 #[test]
-fn room_that_is_being_made_is_told() {
-    let mut harness = open(1);
+fn preemption_in_progress_is_logged() {
+    let mut harness = idle_owner(1);
     let team = Team { name: "t".into(), guaranteed: 8 };
     let teams = [("t".to_owned(), team)].into();
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
-    add(&mut harness, "a", 150, job(1, vec![step(1, 8)]));
+    add_job(&mut harness, "a", 150, job(1, vec![step(1, 8)]));
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
-    add(&mut harness, "g", 151, job(0, vec![step(1, 8)]));
+    add_job(&mut harness, "g", 151, job(0, vec![step(1, 8)]));
     harness.advance_with_pings(1000, 1);
     assert_snapshot!(harness.take_logs(), @"waits g: g.0.0, 1 tasks, 1000 ms: room being made: at w0, since 1000 ms");
 }
 
 #[test]
-fn a_clearance_that_is_missing_is_told() {
-    let mut harness = open(2);
+fn missing_clearance_is_logged() {
+    let mut harness = idle_owner(2);
     let mut cleared = job(1, vec![step(1, 8)]);
     cleared.queue.advice = Some(Advice { decide: 100, each: 10, valid: 5000 });
-    add(&mut harness, "a", 150, cleared.clone());
-    add(&mut harness, "b", 151, cleared);
+    add_job(&mut harness, "a", 150, cleared.clone());
+    add_job(&mut harness, "b", 151, cleared);
     harness.advance_with_pings(1000, 2);
-    let asked = harness.take_logs();
+    let before_answer = harness.take_logs();
     let question = harness.advice_requests.remove(0);
     harness.owner.advised(&question, Some((&[], 5000)), harness.now, harness.now);
     harness.advance_with_pings(2000, 2);
-    assert_snapshot!(format!("{asked}\n-- answered\n{}", harness.take_logs()), @r"
+    assert_snapshot!(format!("{before_answer}\n-- answered\n{}", harness.take_logs()), @r"
     waits a: a.0.0, 1 tasks, 1000 ms: no clearance: a question is out; may not run at 0, cleared for 0
     waits b: b.0.0, 1 tasks, 1000 ms: no clearance: a question is out; may not run at 0, cleared for 0
     -- answered
@@ -158,36 +158,35 @@
 }
 
 #[test]
-fn workers_at_which_tasks_failed_are_told() {
-    let mut harness = open(1);
-    add(&mut harness, "a", 150, job(1, vec![step(1, 8)]));
+fn workers_avoided_after_a_failure_are_logged() {
+    let mut harness = idle_owner(1);
+    add_job(&mut harness, "a", 150, job(1, vec![step(1, 8)]));
     harness.report_status(0, &[], &[end(1, task("a", 0, 0), 1, How::Failed)]);
     harness.advance_with_pings(1000, 1);
     assert_snapshot!(harness.take_logs(), @"waits a: a.0.0, 1 tasks, 1000 ms: workers avoided: failed at w0");
 }
 
 #[test]
-fn workers_that_are_not_open_are_named_with_the_reason() {
-    let mut harness = open(3);
+fn closed_workers_are_logged_with_the_reason() {
+    let mut harness = idle_owner(3);
     harness.owner.unlinked(0);
     harness.deliver(1, Notice::Ping { stamp: harness.now, silent: 3500 });
-    add(&mut harness, "a", 150, job(1, vec![step(3, 8)]));
+    add_job(&mut harness, "a", 150, job(1, vec![step(3, 8)]));
     for _ in 0..10 {
         harness.advance(100);
     }
     assert_snapshot!(harness.take_logs(), @"waits a: a.0.0, 2 tasks, 1000 ms: no room: room for 0 of 2, for 1 if nothing ran; not open: w0 no connection, w1 silent");
 }
 
-// Symptom: a job is said to wait for room while the pool drains. Sequence: it waits in a
-// full pool; the worker begins to drain, which decides nothing. Cause: the cause was
-// looked at only where decisions were made.
+// A job was logged as waiting for room while the pool was draining: the worker of a full pool
+// begins to drain, which leads to no decision, and the cause was evaluated only with decisions.
 #[test]
-fn a_worker_that_drains_while_nothing_is_decided_is_told() {
-    let mut harness = open(1);
+fn cause_is_updated_when_a_worker_begins_to_drain() {
+    let mut harness = idle_owner(1);
     harness.owner.configure(&Config { version: 1, ..Config::default() });
-    add(&mut harness, "a", 150, job(0, vec![step(1, 8)]));
-    add(&mut harness, "b", 151, job(0, vec![step(1, 8)]));
-    // Later than the last time at which time alone changes a decision.
+    add_job(&mut harness, "a", 150, job(0, vec![step(1, 8)]));
+    add_job(&mut harness, "b", 151, job(0, vec![step(1, 8)]));
+    // Long enough that passing time alone changes no decision any more.
     harness.advance_with_pings(3000, 1);
     let full = harness.take_logs();
     let (running, ended) = (vec![run(task("a", 0, 0), 1)], Vec::new());
@@ -201,21 +200,21 @@
     ");
 }
 
-// Without a configuration nothing is guaranteed, and no room is made for it.
+// Without a configuration nothing is guaranteed, and nothing is preempted for a guarantee.
 #[test]
-fn a_configuration_that_is_missing_is_told_where_it_would_matter() {
-    let mut harness = open(1);
-    add(&mut harness, "a", 150, job(0, vec![step(1, 8)]));
-    add(&mut harness, "b", 151, job(0, vec![step(1, 8)]));
+fn missing_configuration_is_logged_where_a_guarantee_could_apply() {
+    let mut harness = idle_owner(1);
+    add_job(&mut harness, "a", 150, job(0, vec![step(1, 8)]));
+    add_job(&mut harness, "b", 151, job(0, vec![step(1, 8)]));
     harness.advance_with_pings(1000, 1);
     assert_snapshot!(harness.take_logs(), @"waits b: b.0.0, 1 tasks, 1000 ms: no configuration: nothing is guaranteed yet; room for 0 of 1, for 1 if nothing ran");
 }
 
 #[test]
-fn steps_that_wait_for_long_are_counted_by_cause() {
-    let mut harness = open(1);
+fn steps_that_wait_for_over_a_second_are_counted_by_cause() {
+    let mut harness = idle_owner(1);
     for (number, name) in [(150, "a"), (151, "b"), (152, "c")] {
-        add(&mut harness, name, number, job(1, vec![step(1, 8), step(2, 16)]));
+        add_job(&mut harness, name, number, job(1, vec![step(1, 8), step(2, 16)]));
     }
     harness.advance_with_pings(900, 1);
     let before = format!("{:?}", harness.owner.waiting());
@@ -230,22 +229,23 @@
     ");
 }
 
-// A gang does not start anew before all that its former start left has gone.
+// A gang does not start again before all runs of its former start have ended.
 #[test]
-fn what_is_left_of_a_former_start_is_told() {
-    let mut harness = open(4);
-    add(&mut harness, "a", 150, job(1, vec![Step { gang: true, ..step(2, 8) }]));
+fn remains_of_a_former_start_are_logged() {
+    let mut harness = idle_owner(4);
+    add_job(&mut harness, "a", 150, job(1, vec![Step { gang: true, ..step(2, 8) }]));
     harness.report_status(0, &[], &[end(1, task("a", 0, 0), 1, How::Broken)]);
     harness.advance_with_pings(1000, 4);
     assert_snapshot!(harness.take_logs(), @"waits a: a.0.0, 1 tasks, 1000 ms: remains of a former start: at w1");
 }
 
 #[test]
-fn a_job_that_is_not_due_is_not_told() {
-    let mut harness = open(1);
-    let mut later = job(1, vec![step(1, 16)]);
-    later.schedule = Some(quincewheel_job::Schedule { first: harness.now + 9000, ..schedule() });
-    add(&mut harness, "a", 150, later);
+fn job_that_is_not_due_is_not_logged() {
+    let mut harness = idle_owner(1);
+    let mut scheduled = job(1, vec![step(1, 16)]);
+    scheduled.schedule =
+        Some(quincewheel_job::Schedule { first: harness.now + 9000, ..schedule() });
+    add_job(&mut harness, "a", 150, scheduled);
     harness.advance_with_pings(3000, 1);
     assert_snapshot!(harness.take_logs(), @"nothing");
 }
@@ -255,9 +255,9 @@
 }
 
 #[test]
-fn a_job_that_was_cancelled_is_not_told() {
-    let mut harness = open(1);
-    add(&mut harness, "a", 150, job(1, vec![step(1, 16)]));
+fn cancelled_job_is_not_logged() {
+    let mut harness = idle_owner(1);
+    add_job(&mut harness, "a", 150, job(1, vec![step(1, 16)]));
     harness.advance_with_pings(500, 1);
     harness.owner.cancel("a", harness.now);
     harness.advance_with_pings(2000, 1);
@@ -265,21 +265,21 @@
 }
 
 #[test]
-fn many_that_wait_are_told_a_few_a_second_and_how_many_were_left_out() {
-    let mut harness = open(1);
+fn wait_lines_are_limited_per_second_and_the_rest_is_counted() {
+    let mut harness = idle_owner(1);
     for number in 10..35 {
         harness.owner.job(&format!("a{number}"), job(1, vec![step(1, 16)]), 150 + number, None);
     }
     harness.tick();
-    let mut told = Vec::new();
+    let mut seconds = Vec::new();
     for _ in 0..5 {
         harness.advance_with_pings(1000, 1);
         let lines = harness.take_logs();
         let jobs = lines.lines().filter(|line| line.starts_with("waits a")).count();
         let others = lines.lines().filter(|line| !line.starts_with("waits a"));
-        told.push(format!("{jobs} lines; {}", others.collect::<Vec<_>>().join("; ")));
+        seconds.push(format!("{jobs} lines; {}", others.collect::<Vec<_>>().join("; ")));
     }
-    assert_snapshot!(told.join("\n"), @r"
+    assert_snapshot!(seconds.join("\n"), @r"
     10 lines; waits left out : 15 more wait and were not told this second: 15 too few workers
     10 lines; waits left out : 5 more wait and were not told this second: 5 too few workers
     5 lines; 
@@ -288,11 +288,10 @@
     ");
 }
 
-// Symptom: for seconds after a change of owner nothing old starts, and only the end of
-// that is told. Sequence: one agent has no connection, one knows no worker, and one
-// worker does not answer.
+// For seconds after a change of owner no older job started, and only the end of that was logged.
+// Here one agent has no connection, one knows no worker, and one has a worker that does not answer.
 #[test]
-fn a_new_owner_tells_once_whom_older_jobs_wait_for_and_why() {
+fn new_owner_logs_once_which_agents_older_jobs_wait_for() {
     let mut harness = Harness::new(2, 4);
     harness.logged_events = vec!["waits", "unsettled", "settled"];
     harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
@@ -309,7 +308,7 @@
     harness.advance_with_pings(900, 4);
     let before = harness.take_logs();
     harness.advance_with_pings(2500, 4);
-    let told = harness.take_logs();
+    let waiting = harness.take_logs();
     harness.report_status(2, &[], &[]);
     harness.advance_with_pings(1000, 4);
     let fewer = harness.take_logs();
@@ -317,7 +316,7 @@
     harness.report_status(1, &[], &[]);
     harness.report_status(3, &[], &[]);
     harness.advance_with_pings(2000, 4);
-    assert_snapshot!(format!("{before}\n--\n{told}\n-- w2 answered\n{fewer}\n--\n{}", harness.take_logs()), @r"
+    assert_snapshot!(format!("{before}\n--\n{waiting}\n-- w2 answered\n{fewer}\n--\n{}", harness.take_logs()), @r"
     nothing
     --
     unsettled : 1000 ms; 3 older steps wait for w1 no connection, w2 no worker known, w3 worker has not answered
@@ -328,9 +327,9 @@
     ");
 }
 
-// An older job that cannot start after that either has waited since the claim.
+// An older job that cannot start once all agents have reported has been waiting since the claim.
 #[test]
-fn what_waited_for_members_goes_on_to_wait_for_another_cause() {
+fn wait_for_agents_counts_towards_the_next_cause() {
     let mut harness = Harness::new(2, 2);
     harness.logged_events = vec!["waits", "unsettled", "settled"];
     harness.owner.job("old", job(1, vec![step(1, 16)]), 50, None);
@@ -349,7 +348,7 @@
 }
 
 #[test]
-fn an_unsettled_owner_of_which_nothing_waits_tells_nothing() {
+fn unsettled_owner_without_waiting_jobs_logs_nothing() {
     let mut harness = Harness::new(2, 2);
     harness.logged_events = vec!["unsettled"];
     harness.advance_with_pings(3000, 0);
