--- a/crates/dispatch/tests/preemption.rs
+++ b/crates/dispatch/tests/preemption.rs
@@ -1,6 +1,5 @@
-//! Whose work gives way to whose. The load is that of a full pool into which jobs
-//! of priority 0 come: most are gangs of whole workers, and none can wait for
-//! more than half of its own run time.
+//! Which work is preempted for which. The load is a full pool into which jobs of priority 0 come;
+//! most of them are gangs of whole workers, and none can wait for more than half of its run time.
 
 mod harness;
 
@@ -10,8 +9,8 @@
 use quincewheel_job::{Config, How, Job, Need, Run, Step, Team};
 use quincewheel_wire::Notice;
 
-/// A worker that is full with a run of `job`, which began `age` ms ago.
-fn fill(harness: &mut Harness, number: u64, name: &str, priority: u32, age: u64) {
+/// Fills a worker with a run of a job of this name, started `age` ms ago.
+fn fill_worker(harness: &mut Harness, number: u64, name: &str, priority: u32, age: u64) {
     harness.owner.job(name, job(priority, vec![step(1, 8)]), 150 + number, None);
     harness.report_status(number, &[], &[]);
     harness.report_status(number, &[run(task(name, 0, 0), 1)], &[]);
@@ -19,26 +18,26 @@
     harness.advance(age);
 }
 
-fn urgent(steps: Vec<Step>, now: u64) -> Job {
+fn urgent_job(steps: Vec<Step>, now: u64) -> Job {
     let mut job = job(0, steps);
     job.queue.stretch = 1.5;
     job.queue.slack = 250;
     Job { accepted: now, ..job }
 }
 
-fn guarantee(harness: &mut Harness, accelerators: u64) {
+fn set_guarantee(harness: &mut Harness, accelerators: u64) {
     let team = Team { name: "t".into(), guaranteed: accelerators };
     let teams = [("t".to_owned(), team)].into();
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
 }
 
 #[test]
-fn a_guaranteed_job_takes_the_room_that_loses_least_and_starts_when_it_is_free() {
+fn guaranteed_job_preempts_the_run_that_loses_least() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    guarantee(&mut harness, 8);
-    fill(&mut harness, 0, "old", 1, 1500);
-    fill(&mut harness, 1, "young", 1, 200);
-    harness.owner.job("g", urgent(vec![step(1, 8)], harness.now), 200, None);
+    set_guarantee(&mut harness, 8);
+    fill_worker(&mut harness, 0, "old", 1, 1500);
+    fill_worker(&mut harness, 1, "young", 1, 200);
+    harness.owner.job("g", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
     let stopped = harness.take_orders();
     harness.report_status(1, &[], &[end(1, task("young", 0, 0), 1, How::Stopped)]);
@@ -49,13 +48,13 @@
     ");
 }
 
-// Who took the room is what a reader of the logs asks first, and nothing told it.
+// Who took the capacity is the first question of a reader of the logs, and no line answered it.
 #[test]
-fn the_end_of_a_run_tells_whom_it_gave_way_to() {
+fn end_of_a_preempted_run_is_logged_with_the_job_it_was_preempted_for() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    guarantee(&mut harness, 8);
-    fill(&mut harness, 0, "young", 1, 200);
-    harness.owner.job("g", urgent(vec![step(1, 8)], harness.now), 200, None);
+    set_guarantee(&mut harness, 8);
+    fill_worker(&mut harness, 0, "young", 1, 200);
+    harness.owner.job("g", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
     harness.logged_events = vec!["run ended"];
     harness.report_status(0, &[], &[end(1, task("young", 0, 0), 1, How::Stopped)]);
@@ -66,56 +65,55 @@
 }
 
 #[test]
-fn beyond_the_guarantee_room_is_taken_only_where_little_is_lost() {
+fn beyond_its_guarantee_a_job_preempts_only_where_little_is_lost() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    fill(&mut harness, 0, "old", 1, 2300);
-    harness.owner.job("u", urgent(vec![step(1, 8)], harness.now), 200, None);
+    fill_worker(&mut harness, 0, "old", 1, 2300);
+    harness.owner.job("u", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
-    let at_a_loss = harness.take_orders();
+    let large_loss = harness.take_orders();
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    fill(&mut harness, 0, "young", 1, 1500);
-    harness.owner.job("u", urgent(vec![step(1, 8)], harness.now), 200, None);
+    fill_worker(&mut harness, 0, "young", 1, 1500);
+    harness.owner.job("u", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
-    assert_snapshot!(format!("old: {at_a_loss}\nyoung: {}", harness.take_orders()), @r"
+    assert_snapshot!(format!("old: {large_loss}\nyoung: {}", harness.take_orders()), @r"
     old: nothing
     young: w0 stop young.0.0.0 run 1
     ");
 }
 
-// Symptom: more work is thrown away than done. Sequence: a job of priority 0 that is
-// too late to earn anything stops others, which start first and are stopped again.
+// More work was thrown away than done: a job of priority 0 that was too late to meet its objective
+// preempted others, which started first and were preempted again.
 #[test]
-fn a_late_job_takes_no_room() {
+fn late_job_preempts_nothing() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    fill(&mut harness, 0, "young", 1, 200);
-    harness.owner.job("late", urgent(vec![step(1, 8)], harness.now - 2000), 200, None);
+    fill_worker(&mut harness, 0, "young", 1, 200);
+    harness.owner.job("late", urgent_job(vec![step(1, 8)], harness.now - 2000), 200, None);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @r"nothing");
 }
 
 #[test]
-fn equals_and_betters_are_not_stopped() {
+fn runs_of_the_same_priority_are_not_preempted() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    guarantee(&mut harness, 8);
-    fill(&mut harness, 0, "equal", 0, 200);
-    harness.owner.job("g", urgent(vec![step(1, 8)], harness.now), 200, None);
+    set_guarantee(&mut harness, 8);
+    fill_worker(&mut harness, 0, "equal", 0, 200);
+    harness.owner.job("g", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @r"nothing");
 }
 
-// Symptom: a guaranteed job does not start though its team holds nothing. Sequence:
-// another team's jobs of priority 0 fill the pool beyond their own guarantee.
-// Cause: only lower priorities gave way. What is borrowed gives way in time for the
-// promise, and not before: it may end by itself.
+// A guaranteed job did not start though its team held nothing: another team's jobs of priority 0
+// filled the pool beyond their own guarantee, and only lower priorities were preempted. Borrowed
+// capacity is reclaimed just in time for the guarantee, since the run may end before that.
 #[test]
-fn what_is_borrowed_beyond_a_guarantee_gives_way_to_one_when_it_must() {
+fn borrowed_capacity_is_preempted_in_time_for_a_guarantee() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let team = |name: &str, guaranteed| (name.to_owned(), Team { name: name.into(), guaranteed });
     let teams = [team("t", 8), team("other", 8)].into();
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
-    fill(&mut harness, 0, "own", 0, 100);
-    fill(&mut harness, 1, "borrowed", 0, 100);
-    let theirs = Job { team: "other".into(), ..urgent(vec![step(1, 8)], harness.now) };
+    fill_worker(&mut harness, 0, "own", 0, 100);
+    fill_worker(&mut harness, 1, "borrowed", 0, 100);
+    let theirs = Job { team: "other".into(), ..urgent_job(vec![step(1, 8)], harness.now) };
     harness.owner.job("g", theirs, 200, None);
     harness.tick();
     let at_once = harness.take_orders();
@@ -127,11 +125,11 @@
     ");
 }
 
-// Symptom: an urgent job stops a run that is all but done. Sequence: a run is at 80
-// percent after 800 ms; an urgent job comes; the run would end within 200 ms, a stop
-// takes up to 900. Cause: what a run has still to do was not looked at.
+// An urgent job preempted a run that was nearly done: the run is at 80 percent after 800 ms and
+// would end within 200 ms, while a stop takes up to 900 ms. The remaining time of runs was not
+// considered.
 #[test]
-fn a_run_that_is_all_but_done_is_waited_for() {
+fn run_close_to_its_end_is_not_preempted() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.job("old", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
@@ -139,7 +137,7 @@
     let listed = Run { percent: 80, ..run(task("old", 0, 0), 1) };
     harness.report_status(0, &[listed], &[]);
     harness.take_orders();
-    harness.owner.job("u", urgent(vec![step(1, 8)], harness.now), 200, None);
+    harness.owner.job("u", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
     let waiting = harness.take_orders();
     harness.advance(200);
@@ -151,20 +149,20 @@
     ");
 }
 
-// Symptom: jobs wait for seconds for room that others have long taken. Sequence: room
-// is made for one job; a guaranteed job comes, ranks before it, and takes that room.
-// Cause: the first went on waiting until its reservation ran out.
+// Jobs waited for seconds for capacity that others had already taken: capacity is being freed for
+// one job when a guaranteed job comes, ranks before it and takes it. The first went on waiting
+// until its reservation expired.
 #[test]
-fn a_reservation_whose_room_was_taken_is_made_anew() {
+fn reservation_taken_by_a_better_rank_is_made_again() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    guarantee(&mut harness, 8);
-    fill(&mut harness, 0, "young", 1, 100);
-    fill(&mut harness, 1, "old", 1, 900);
-    let other = Job { team: "other".into(), ..urgent(vec![step(1, 8)], harness.now) };
+    set_guarantee(&mut harness, 8);
+    fill_worker(&mut harness, 0, "young", 1, 100);
+    fill_worker(&mut harness, 1, "old", 1, 900);
+    let other = Job { team: "other".into(), ..urgent_job(vec![step(1, 8)], harness.now) };
     harness.owner.job("u", other, 200, None);
     harness.tick();
     let first = harness.take_orders();
-    harness.owner.job("g", urgent(vec![step(1, 8)], harness.now), 201, None);
+    harness.owner.job("g", urgent_job(vec![step(1, 8)], harness.now), 201, None);
     harness.tick();
     assert_snapshot!(format!("{first}\n-- guaranteed\n{}", harness.take_orders()), @r"
     w1 stop old.0.0.0 run 1
@@ -173,19 +171,19 @@
     ");
 }
 
-// Load: long jobs with much time fill a pool of which each part could hold urgent gangs.
-// Symptom: each urgent gang stops some of them. Cause: they took the last whole workers.
+// Load: long jobs with much slack fill a pool, each part of which could hold urgent gangs. They
+// took the last whole workers, so each urgent gang had to preempt some of them.
 #[test]
-fn work_that_has_time_leaves_whole_workers_to_work_that_has_not() {
+fn job_with_slack_leaves_the_last_whole_workers_to_urgent_work() {
     let mut harness = Harness::new(1, 6).with_idle_workers(6);
-    let easy = |now| {
+    let relaxed = |now| {
         let need = Need { cpu: 60_000, memory: 250_000, accelerators: 8 };
         let mut job = job(1, vec![Step { estimate: 9000, need, ..step(1, 8) }]);
         job.queue.stretch = 3.0;
         Job { accepted: now, ..job }
     };
     for number in 0..6 {
-        harness.owner.job(&format!("easy{number}"), easy(harness.now), 150 + number, None);
+        harness.owner.job(&format!("easy{number}"), relaxed(harness.now), 150 + number, None);
     }
     harness.tick();
     let at_first = harness.take_orders().lines().count();
@@ -195,28 +193,28 @@
             harness.deliver(number, Notice::Ping { stamp: harness.now, silent: 0 });
         }
     }
-    let pressed = harness.take_orders();
-    assert_snapshot!(format!("{at_first} of 6 at first\n-- when time presses\n{pressed}"), @r"
+    let when_urgent = harness.take_orders();
+    assert_snapshot!(format!("{at_first} of 6 at first\n-- when time presses\n{when_urgent}"), @r"
     5 of 6 at first
     -- when time presses
     w3 start easy5.0.0.0 run 1
     ");
 }
 
-// Symptom: at the end of a day a job stands still beside idle workers. Sequence: little
-// runs; the last whole workers are spared for urgent work that does not come; the job
-// has ten seconds to spare. Cause: it waited until its time pressed.
+// At the end of a day a job stood still beside idle workers: little runs, and the last whole
+// workers are reserved for urgent work that does not come. The job has ten seconds of slack and
+// waited until it had used them up.
 #[test]
-fn a_job_of_which_nothing_runs_does_not_stand_still_beside_a_pool_that_is_half_free() {
+fn job_of_which_nothing_runs_starts_in_a_pool_that_is_half_free() {
     let mut harness = Harness::new(1, 4).with_idle_workers(4);
     for number in 1..4 {
         harness.owner.job(&format!("small{number}"), job(0, vec![step(1, 5)]), 140 + number, None);
         harness.tick();
     }
     harness.take_orders();
-    let mut easy = job(1, vec![Step { estimate: 9000, ..step(1, 8) }]);
-    easy.queue.stretch = 3.0;
-    harness.owner.job("easy", Job { accepted: harness.now, ..easy }, 150, None);
+    let mut relaxed = job(1, vec![Step { estimate: 9000, ..step(1, 8) }]);
+    relaxed.queue.stretch = 3.0;
+    harness.owner.job("easy", Job { accepted: harness.now, ..relaxed }, 150, None);
     harness.tick();
     let at_first = harness.take_orders();
     harness.advance(1600);
@@ -227,77 +225,77 @@
     ");
 }
 
-// Symptom: a guaranteed job begins seconds later than it may. Sequence: four fifths of the workers
-// are gone; a guaranteed gang of one team fills the two that are left, and a job within the
-// guarantee of another team comes. Cause: guaranteed work that has begun never gives way to other
-// guaranteed work, though only what has not begun can break its promise.
+// A guaranteed job started seconds too late. Four fifths of the workers are lost; a guaranteed gang
+// of one team fills the two that are left when a job within another team's guarantee comes.
+// Guaranteed work that had started was never preempted for other guaranteed work, though a
+// guarantee is a promise about the start only.
 #[test]
-fn guaranteed_work_begins_in_time_beside_other_guaranteed_work_that_fills_the_pool() {
+fn guaranteed_job_starts_in_time_in_a_pool_full_of_other_guaranteed_work() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let team = |name: &str, guaranteed| (name.to_owned(), Team { name: name.into(), guaranteed });
     let teams = [team("t", 8), team("u", 16)].into();
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
-    let mut gang = urgent(vec![Step { gang: true, ..step(2, 8) }], harness.now);
+    let mut gang = urgent_job(vec![Step { gang: true, ..step(2, 8) }], harness.now);
     gang.team = "u".into();
     harness.owner.job("begun", gang, 150, None);
     harness.tick();
     (0..2).for_each(|at| harness.report_status(at, &[run(task("begun", 0, at as u32), 1)], &[]));
     harness.advance(1000);
     harness.take_orders();
-    harness.owner.job("waits", urgent(vec![step(1, 8)], harness.now), 200, None);
-    let mut told = String::new();
+    harness.owner.job("waits", urgent_job(vec![step(1, 8)], harness.now), 200, None);
+    let mut orders = String::new();
     for _ in 0..Settings::default().reclaim / 100 {
         harness.advance_with_pings(100, 2);
-        let lines = harness.take_orders();
-        for at in (0..2).filter(|at| lines.contains(&format!("w{at} stop"))) {
+        let new_orders = harness.take_orders();
+        for at in (0..2).filter(|at| new_orders.contains(&format!("w{at} stop"))) {
             harness.report_status(at, &[], &[end(1, task("begun", 0, at as u32), 1, How::Stopped)]);
         }
-        told += &lines;
+        orders += &new_orders;
     }
-    assert!(told.contains("start waits.0.0.0"), "{told}");
+    assert!(orders.contains("start waits.0.0.0"), "{orders}");
 }
 
-// Load: guaranteed jobs of two teams come in turn into a pool that holds one of them. Symptom: all begin
-// and none ends. Cause: room was taken again and again from the same work; now once.
+// Load: guaranteed jobs of several teams come in turn into a pool that holds one of them. The same
+// work was preempted again and again, so that all started and none ended.
 #[test]
-fn guaranteed_work_gives_its_room_up_to_another_guarantee_once_only() {
+fn guaranteed_work_is_preempted_for_another_guarantee_once_only() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let team = |name: &str| (name.to_owned(), Team { name: name.into(), guaranteed: 8 });
     let teams = [team("a"), team("b"), team("c"), team("d")].into();
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
-    let mut number = 0;
-    let mut told = String::new();
+    let mut end_number = 0;
+    let mut orders = String::new();
     for (name, at) in [("a", 150), ("b", 151), ("c", 152), ("d", 153)] {
         if name == "d" {
-            // What gave way begins again, and gives way no more.
+            // The first preempted job starts again, and is not preempted a second time.
             harness.owner.cancel("c", harness.now);
             harness.report_status(0, &[], &[end(9, task("c", 0, 0), 1, How::Stopped)]);
         }
-        let job = Job { team: name.into(), ..urgent(vec![step(1, 8)], harness.now) };
+        let job = Job { team: name.into(), ..urgent_job(vec![step(1, 8)], harness.now) };
         harness.owner.job(name, job, at, None);
         for _ in 0..27 {
             harness.advance_with_pings(100, 1);
-            let lines = harness.take_orders();
-            for line in lines.lines().filter(|line| *line != "nothing") {
-                let words: Vec<&str> = line.split(' ').collect();
+            let new_orders = harness.take_orders();
+            for order in new_orders.lines().filter(|order| *order != "nothing") {
+                let words: Vec<&str> = order.split(' ').collect();
                 let run_number: u64 = words[4].parse().unwrap();
                 let task = task(&words[2][..1], 0, 0);
                 match words[1] {
                     "start" => harness.report_status(0, &[run(task, run_number)], &[]),
                     _ => {
-                        number += 1;
+                        end_number += 1;
                         harness.report_status(
                             0,
                             &[],
-                            &[end(number, task, run_number, How::Stopped)],
+                            &[end(end_number, task, run_number, How::Stopped)],
                         );
                     }
                 }
-                told += &format!("{line}\n");
+                orders += &format!("{order}\n");
             }
         }
     }
-    assert_snapshot!(told.replace(" \n", "\n"), @r"
+    assert_snapshot!(orders.replace(" \n", "\n"), @r"
     w0 start a.0.0.0 run 1
     w0 stop a.0.0.0 run 1
     w0 start b.0.0.0 run 1
@@ -308,22 +306,22 @@
     ");
 }
 
-// Symptom: a guaranteed job begins 0.3 s too late, though its room was made in time. Sequence: while the
-// stops for it are under way, another team's guaranteed job, which was accepted before, finds that room
-// about to be free and takes it. Cause: room that was set aside counted as anybody's for better ranks.
+// A guaranteed job started 0.3 s too late, though capacity was freed in time: while the stops are
+// under way, another team's guaranteed job that was accepted earlier finds the capacity about to be
+// free and takes it. Reserved capacity was open to every better rank.
 #[test]
-fn guaranteed_room_that_is_being_made_is_kept_for_its_job() {
+fn capacity_being_freed_for_a_guarantee_is_kept_for_its_job() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let team = |name: &str, guaranteed| (name.to_owned(), Team { name: name.into(), guaranteed });
     let teams = [team("t", 8), team("u", 8), team("v", 8)].into();
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
-    fill(&mut harness, 0, "low", 1, 500);
-    fill(&mut harness, 1, "firm", 0, 500);
-    let owed = Job { team: "v".into(), ..urgent(vec![step(1, 8)], harness.now) };
+    fill_worker(&mut harness, 0, "low", 1, 500);
+    fill_worker(&mut harness, 1, "firm", 0, 500);
+    let owed = Job { team: "v".into(), ..urgent_job(vec![step(1, 8)], harness.now) };
     harness.owner.job("owed", owed, 200, None);
     harness.tick();
     let first = harness.take_orders();
-    let older = Job { team: "u".into(), ..urgent(vec![step(1, 8)], harness.now - 300) };
+    let older = Job { team: "u".into(), ..urgent_job(vec![step(1, 8)], harness.now - 300) };
     harness.owner.job("older", older, 190, None);
     harness.advance_with_pings(100, 2);
     harness.report_status(0, &[], &[end(1, task("low", 0, 0), 1, How::Stopped)]);
--- a/crates/dispatch/tests/reservation_refused_start.rs
+++ b/crates/dispatch/tests/reservation_refused_start.rs
@@ -1,4 +1,4 @@
-//! Room that is being made at a worker that refuses a start meanwhile.
+//! Capacity that is being freed at a worker which refuses another start meanwhile.
 
 mod harness;
 
@@ -7,13 +7,12 @@
 use quincewheel_job::{Config, Task, Team};
 use quincewheel_wire::{Notice, Refused};
 
-// Symptom: work of two workers is stopped for a step that needs one. Sequence: both workers
-// are nearly full; work at one is being stopped for a guaranteed step; that worker refuses a
-// start of another job, and is left alone for 50 ms. Cause: a worker that is left alone is no
-// place, not even for the room that is being made there, so that room counts as void at once
-// and is made once more elsewhere.
+// Work of two workers was stopped for a step that needs one. Both workers are nearly full; work at
+// one is being stopped for a guaranteed step; that worker refuses a start of another job and is
+// avoided for 50 ms. A worker that is avoided is no candidate, not even for the capacity that is
+// being freed there, so that reservation counted as void at once and was made again elsewhere.
 #[test]
-fn a_refusal_does_not_make_room_twice() {
+fn refusal_does_not_free_capacity_twice() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let team = Team { name: "t".into(), guaranteed: 8 };
     let teams = [("t".to_owned(), team)].into();
@@ -21,7 +20,7 @@
     for number in 0..2 {
         let name = format!("low{number}");
         harness.owner.job(&name, job(1, vec![step(1, 6)]), 150 + number, None);
-        harness.report_status(number, &[run(low(number), 1)], &[]);
+        harness.report_status(number, &[run(low_task(number), 1)], &[]);
         harness.advance(200);
     }
     harness.owner.job("tiny", job(1, vec![step(2, 2)]), 160, None);
@@ -31,14 +30,14 @@
     let made = harness.take_orders();
     harness.deliver(1, Notice::Unstarted { task: task("tiny", 0, 1), run: 1, why: Refused::Busy });
     harness.advance(100);
-    let stops = |told: &str| {
-        let stops: Vec<&str> = told.lines().filter(|line| line.contains("stop")).collect();
+    let stops = |orders: &str| {
+        let stops: Vec<&str> = orders.lines().filter(|line| line.contains("stop")).collect();
         stops.join(", ")
     };
-    let (first, then) = (stops(&made), stops(&harness.take_orders()));
-    assert_snapshot!(format!("{first}; refused: {then}"), @"w1 stop low1.0.0.0 run 1; refused: ");
+    let (first, after_refusal) = (stops(&made), stops(&harness.take_orders()));
+    assert_snapshot!(format!("{first}; refused: {after_refusal}"), @"w1 stop low1.0.0.0 run 1; refused: ");
 }
 
-fn low(number: u64) -> Task {
+fn low_task(number: u64) -> Task {
     task(&format!("low{number}"), 0, 0)
 }
