--- a/crates/dispatch/tests/election.rs
+++ b/crates/dispatch/tests/election.rs
@@ -1,4 +1,4 @@
-//! When an entry takes the ownership over.
+//! When an entry takes over the ownership.
 
 use insta::assert_snapshot;
 use quincewheel_dispatch::rows::{self, Node, Ownership, Size};
@@ -13,82 +13,81 @@
 }
 
 #[test]
-fn a_row_that_stands_still_while_the_table_is_heard_is_taken_over() {
+fn owner_whose_row_stops_changing_is_replaced_while_the_table_answers() {
     let mut election = Election::open("a", 1, 2500);
     election.observe(70, 1000);
     let row = owner("b", 1);
-    for heard in (1500..4200).step_by(500) {
-        election.observe(70, heard);
+    for read_at in (1500..4200).step_by(500) {
+        election.observe(70, read_at);
     }
-    let told = [(2000, 2000), (4100, 4100), (1500, 9000)]
-        .map(|(heard, now)| election.due(row.as_ref(), heard, now, false));
-    assert_snapshot!(format!("{told:?}"), @"[false, true, false]");
+    let due = [(2000, 2000), (4100, 4100), (1500, 9000)]
+        .map(|(read_at, now)| election.due(row.as_ref(), read_at, now, false));
+    assert_snapshot!(format!("{due:?}"), @"[false, true, false]");
 }
 
 #[test]
-fn an_entry_takes_over_from_its_own_former_life_at_once() {
+fn restarted_entry_replaces_its_former_incarnation_at_once() {
     let election = Election::open("a", 2, 2500);
     let due = |row: Option<(Ownership, u64)>| election.due(row.as_ref(), 10, 10, false);
-    let told = [due(owner("a", 1)), due(owner("a", 2)), due(owner("", 7)), due(None)];
-    assert_snapshot!(format!("{told:?}"), @"[true, false, true, true]");
+    let results = [due(owner("a", 1)), due(owner("a", 2)), due(owner("", 7)), due(None)];
+    assert_snapshot!(format!("{results:?}"), @"[true, false, true, true]");
 }
 
-// Symptom: nothing starts for seconds while entries restart one after the other.
-// Sequence: the owner hands over while the others drain or are down.
-// Cause: entries that drain never took over.
+// Nothing started for seconds while entries were restarted one after the other: the owner hands
+// over while the others drain or are down, and draining entries never claimed.
 #[test]
-fn an_entry_that_drains_steps_in_where_nobody_else_does() {
+fn draining_entry_claims_a_vacant_ownership_after_the_others() {
     let mut election = Election::open("a", 1, 2500);
     election.observe(70, 1000);
     let (vacant, held) = (owner("", 7), owner("b", 7));
-    let told = [
+    let due = [
         election.due(vacant.as_ref(), 1000, 1200, true),
         election.due(vacant.as_ref(), 1000, 1300, true),
         election.due(held.as_ref(), 5000, 5000, true),
         election.due(None, 5000, 5000, true),
     ];
-    assert_snapshot!(format!("{told:?}"), @"[false, true, false, false]");
+    assert_snapshot!(format!("{due:?}"), @"[false, true, false, false]");
 }
 
-// Symptom: nothing starts for three seconds after an owner was killed.
-// Cause: only the row that stood still showed it.
+// Nothing started for three seconds after an owner was killed, since only its unchanged row showed
+// it.
 #[test]
-fn an_owner_whose_connection_broke_and_that_stays_silent_is_replaced_soon() {
+fn owner_whose_connection_broke_is_replaced_after_a_short_timeout() {
     let mut election = Election::open("a", 1, 2500);
     let row = owner("b", 1);
     election.observe(70, 1000);
     election.lost(1100);
-    let mut told = vec![election.due(row.as_ref(), 1100, 1700, false)];
-    told.push(election.due(row.as_ref(), 1100, 2300, false));
+    let mut due = vec![election.due(row.as_ref(), 1100, 1700, false)];
+    due.push(election.due(row.as_ref(), 1100, 2300, false));
     election.found();
-    told.push(election.due(row.as_ref(), 1100, 2300, false));
+    due.push(election.due(row.as_ref(), 1100, 2300, false));
     election.lost(2400);
     election.observe(71, 2500);
-    told.push(election.due(row.as_ref(), 2500, 3600, false));
-    assert_snapshot!(format!("{told:?}"), @"[false, true, false, false]");
+    due.push(election.due(row.as_ref(), 2500, 3600, false));
+    assert_snapshot!(format!("{due:?}"), @"[false, true, false, false]");
 }
 
-// Symptom: the ownership changes hands each time the table comes back from an outage,
-// and nothing starts meanwhile. Sequence: the table is away for longer than the
-// patience; on its return a candidate hears it before the owner has written its row.
-// Cause: the time in which nobody could write counted as the owner's silence.
+// The ownership changed hands each time the table came back from an outage, and nothing started
+// meanwhile. The table is down for longer than the takeover timeout, and on its return a candidate
+// reads it before the owner has renewed its row. The time in which nobody could write counted as
+// the owner's silence.
 #[test]
-fn an_outage_of_the_table_is_not_held_against_the_owner() {
+fn table_outage_does_not_count_as_silence_of_the_owner() {
     let mut election = Election::open("a", 1, 1600);
     let row = owner("b", 1);
     election.observe(70, 1000);
     election.observe(70, 9000);
-    let mut told = vec![election.due(row.as_ref(), 9000, 9000, false)];
-    for heard in (9400..12_000).step_by(400) {
-        election.observe(70, heard);
+    let mut due = vec![election.due(row.as_ref(), 9000, 9000, false)];
+    for read_at in (9400..12_000).step_by(400) {
+        election.observe(70, read_at);
     }
-    told.push(election.due(row.as_ref(), 11_800, 11_800, false));
-    assert_snapshot!(format!("{told:?}"), @"[false, true]");
+    due.push(election.due(row.as_ref(), 11_800, 11_800, false));
+    assert_snapshot!(format!("{due:?}"), @"[false, true]");
 }
 
-/// A mirror of entries on machines of these shares of a core, in thousandths, and the row
-/// of an owner.
-fn entries(machines: &[(&str, u64)], owners: &[(Ownership, u64)]) -> Mirror {
+/// Creates a mirror that has entries on machines of these sizes, in thousandths of a core, and the
+/// versions of the owner's row.
+fn mirror_of(machines: &[(&str, u64)], owners: &[(Ownership, u64)]) -> Mirror {
     let mut mirror = Mirror::default();
     for (name, processor) in machines {
         let size = Size { processor: *processor, link: 20 };
@@ -103,8 +102,9 @@
     mirror
 }
 
-/// Milliseconds after the row's last change at which each entry claims.
-fn claims(mirror: &Mirror, machines: &[(&str, u64)], lost: bool) -> Vec<(String, u64)> {
+/// Returns for each entry the milliseconds from the last change of the row to its claim.
+/// With `lost`, the connection to the owner broke at that change.
+fn claim_delays(mirror: &Mirror, machines: &[(&str, u64)], lost: bool) -> Vec<(String, u64)> {
     let row = mirror.owner.as_ref();
     let version = row.map_or(0, |(_, version)| *version);
     let mut found = Vec::new();
@@ -122,96 +122,97 @@
     found
 }
 
-// Symptom: on a day on which the first owner is cut off from the table, urgent jobs are late
-// by seconds in three plays of eight. Sequence: it hands over; all 24 entries that see the
-// vacant row claim within 70 ms, and one on an eighth of a core wins beside 17 larger ones. It
-// falls behind 160 agents, does not renew its row for 1.7 s, and is replaced though it lives.
-// Cause: who claims first was left to chance.
+// On a day on which the first owner was cut off from the table, urgent jobs were late by seconds in
+// three runs of eight. The owner hands over, all 24 entries that see the vacant row claim within 70
+// ms, and an entry on an eighth of a core wins beside 17 larger ones. It cannot keep up with 160
+// agents, does not renew its row for 1.7 s, and is replaced though it is alive. Which entry claimed
+// first was left to chance.
 #[test]
-fn a_vacant_ownership_goes_to_the_largest_machine_that_lives() {
+fn vacant_ownership_goes_to_the_largest_machine() {
     let machines =
         [("a-small", 120), ("b-large", 500), ("c-large", 500), ("d-small", 120), ("e-large", 500)];
     let held = owner("b-large", 7).expect("a row");
     let vacant = (Ownership { sequence: 10, ..owner("", 7).expect("a row").0 }, 71);
-    let mirror = entries(&machines, &[held.clone(), vacant]);
+    let mirror = mirror_of(&machines, &[held.clone(), vacant]);
     assert_snapshot!(
-        format!("{:?}", claims(&mirror, &machines, false)),
+        format!("{:?}", claim_delays(&mirror, &machines, false)),
         @r#"[("c-large", 0), ("e-large", 60), ("a-small", 80), ("d-small", 100), ("b-large", 140)]"#
     );
-    // The owner itself was killed: its connections broke.
-    let mirror = entries(&machines, &[held]);
+    // The owner is killed, which breaks its connections.
+    let mirror = mirror_of(&machines, &[held]);
     let others =
         machines.map(|machine| if machine.0 == "b-large" { ("b-other", 0) } else { machine });
     assert_snapshot!(
-        format!("{:?}", claims(&mirror, &others, true)),
+        format!("{:?}", claim_delays(&mirror, &others, true)),
         @r#"[("c-large", 700), ("e-large", 760), ("a-small", 780), ("d-small", 800), ("b-other", 840)]"#
     );
 }
 
-// Symptom and cause as above, at the first start of all machines: each entry knows only those
-// that announced themselves before it, so that a small one is the largest it knows.
+// The same at the first start of all machines: each entry knows only those that registered before
+// it, so a small one may be the largest that it knows.
 #[test]
-fn at_the_first_start_entries_wait_until_they_know_of_one_another() {
+fn entries_delay_the_first_claim_until_they_know_each_other() {
     let mut election = Election::open("a-small", 1, 1700);
     election.unowned(1000);
     election.unowned(1200);
     election.stand(1);
-    let told = [1000, 1500, 1559, 1560].map(|now| election.due(None, now, now, false));
-    assert_snapshot!(format!("{told:?}"), @"[false, false, false, true]");
+    let due = [1000, 1500, 1559, 1560].map(|now| election.due(None, now, now, false));
+    assert_snapshot!(format!("{due:?}"), @"[false, false, false, true]");
 }
 
-// The former owner has asked one of the largest that the table answers; the first in order may
-// be cut off as well.
+// The former owner asks one of the largest entries to which the table answers; the first in order
+// may be cut off as well.
 #[test]
-fn an_entry_that_was_asked_to_step_in_does_so_at_once() {
+fn entry_asked_by_the_former_owner_claims_at_once() {
     let mut election = Election::open("z-small", 1, 1700);
     let row = owner("", 7);
     election.stand(9);
     election.observe(70, 1000);
-    let mut told = vec![election.due(row.as_ref(), 1000, 1001, false)];
+    let mut due = vec![election.due(row.as_ref(), 1000, 1001, false)];
     election.call(70);
-    told.push(election.due(row.as_ref(), 1000, 1001, false));
+    due.push(election.due(row.as_ref(), 1000, 1001, false));
     election.call(69);
-    told.push(election.due(row.as_ref(), 1000, 1001, false));
-    assert_snapshot!(format!("{told:?}"), @"[false, true, false]");
+    due.push(election.due(row.as_ref(), 1000, 1001, false));
+    assert_snapshot!(format!("{due:?}"), @"[false, true, false]");
 }
 
-// Symptom: nothing starts for two seconds after the owner's machine lost its power. Sequence: no
-// connection breaks, as nobody is there to close it. Cause: only the row that stood still showed it.
+// Nothing started for two seconds after the owner's machine lost power: no connection breaks, as
+// nobody is there to close it, and only the unchanged row showed it.
 #[test]
-fn an_owner_that_says_nothing_and_whose_row_stands_still_is_replaced_soon() {
+fn owner_without_heartbeats_and_row_changes_is_replaced_after_a_short_timeout() {
     let row = owner("b", 1);
-    let due = |word: u64, row_at: u64| {
+    let due = |last_alive: u64, row_changed_at: u64| {
         let mut election = Election::open("a", 1, 1700);
         election.found();
         election.observe(69, 1000);
         election.alive(1000);
-        election.observe(70, row_at);
-        election.alive(word);
+        election.observe(70, row_changed_at);
+        election.alive(last_alive);
         let due = |now: u64| election.due(row.as_ref(), now, now, false);
         (1000..4000).step_by(50).find(|now| due(*now))
     };
-    let told = [
+    let results = [
         ("both stop", due(1300, 1250)),
         ("it goes on saying so", due(1900, 1250)),
         ("its row moves later", due(1300, 1800)),
     ];
-    assert_snapshot!(format!("{told:?}"), @r#"
+    assert_snapshot!(format!("{results:?}"), @r#"
     [("both stop", Some(2000)), ("it goes on saying so", Some(2600)), ("its row moves later", Some(2500))]
     "#);
 }
 
-// Symptom: a task starts twice. An owner reckons with no other until 500 ms after its last write; a
-// candidate must never claim over a row that it has seen for less than 700, whatever else it notices.
+// A task started twice. An owner assumes that there is no other until 500 ms after its last write,
+// so a candidate must never claim over a row version that it observed less than 700 ms ago,
+// whatever else it notices.
 #[test]
-fn no_candidate_claims_within_700_ms_of_the_last_write_that_it_has_seen() {
+fn no_candidate_claims_within_700_ms_of_the_last_observed_write() {
     let row = owner("b", 1);
-    let seen = 2000;
-    let mut soonest = u64::MAX;
-    for lost in (0..4000).step_by(100) {
-        for word in (0..4000).step_by(100) {
+    let observed_at = 2000;
+    let mut earliest = u64::MAX;
+    for lost_at in (0..4000).step_by(100) {
+        for alive_at in (0..4000).step_by(100) {
             let mut election = Election::open("a", 1, 1700);
-            let mut events = [(0, 0), (seen, 1), (lost, 2), (word, 3)];
+            let mut events = [(0, 0), (observed_at, 1), (lost_at, 2), (alive_at, 3)];
             events.sort_unstable();
             let mut events = events.into_iter().peekable();
             for now in (0..6000).step_by(50) {
@@ -223,27 +224,27 @@
                         _ => {}
                     }
                 }
-                election.observe(if now < seen { 69 } else { 70 }, now);
-                if now >= seen && election.due(row.as_ref(), now, now, false) {
-                    soonest = soonest.min(now - seen);
+                election.observe(if now < observed_at { 69 } else { 70 }, now);
+                if now >= observed_at && election.due(row.as_ref(), now, now, false) {
+                    earliest = earliest.min(now - observed_at);
                     break;
                 }
             }
         }
     }
-    assert_eq!(soonest, 700);
+    assert_eq!(earliest, 700);
 }
 
-// Symptom: every entry takes over the moment a table comes back. A candidate that does not hear the table
-// cannot tell whether the owner's row stands still.
+// Every entry took over the moment a table came back: a candidate that cannot read the table cannot
+// tell whether the owner's row stopped changing.
 #[test]
-fn an_owner_that_says_nothing_is_not_replaced_by_an_entry_that_does_not_hear_the_table() {
+fn entry_cut_off_from_the_table_does_not_replace_a_silent_owner() {
     let row = owner("b", 1);
     let mut election = Election::open("a", 1, 1700);
     election.found();
     election.observe(70, 1000);
     election.alive(1000);
-    let told = [(1000, 5000), (1699, 5000), (1700, 5000)]
-        .map(|(heard, now)| election.due(row.as_ref(), heard, now, false));
-    assert_snapshot!(format!("{told:?}"), @"[false, false, true]");
+    let due = [(1000, 5000), (1699, 5000), (1700, 5000)]
+        .map(|(read_at, now)| election.due(row.as_ref(), read_at, now, false));
+    assert_snapshot!(format!("{due:?}"), @"[false, false, true]");
 }
--- a/crates/dispatch/tests/former_owner_leases.rs
+++ b/crates/dispatch/tests/former_owner_leases.rs
@@ -1,4 +1,5 @@
-//! A former owner that lives, cut off, and a new one.
+//! Leases that a former owner grants while it is cut off, and when a new owner starts their work
+//! elsewhere.
 
 mod harness;
 
@@ -6,67 +7,82 @@
 use quincewheel_dispatch::{Output, Owner, Settings};
 use quincewheel_wire::{Notice, Order};
 
-/// The shortest lease that a worker makes of a grant: reckoned as if its clock ran 2 % slow.
-const LEASE: u64 = 5880;
+/// Shortest lease that a worker may derive from a grant, assuming that its clock runs 2 % slow.
+const SHORTEST_LEASE_MS: u64 = 5880;
 
-/// The last write that the table confirmed to the former owner.
-const WRITTEN: u64 = 10_000;
+/// Time of the last write that the table confirmed to the former owner.
+const LAST_WRITE_AT: u64 = 10_000;
 
-// Symptom: a task runs twice, for up to a second. Sequence: the owner and one agent are cut
-// off from the table and from the other agents. Another entry takes over 1.7 s after the
-// owner's last write, and speaks to all other agents at once. The former owner goes on
-// granting leases to the agent beside it. Cause: it grants while it speaks to most agents,
-// and takes connections that carry nothing for such until 2.5 s after their last word; the
-// new owner reckons that it granted nothing once most agents followed the new one.
+// A task ran twice, for up to a second. The owner and one agent are cut off from the table and from
+// the other agents; another entry takes over 1.7 s after the owner's last write and connects to all
+// other agents at once, while the former owner goes on granting leases to the agent beside it. It
+// grants while it is in contact with most agents, and counted connections that carry nothing as
+// contact until 2.5 s after the last message; the new owner assumed that it granted nothing once
+// most agents followed the new one.
 #[test]
-fn what_a_cut_off_owner_grants_has_lapsed_before_its_work_starts_elsewhere() {
-    // The worker that runs something is looked at, too.
-    let (granted, started) = take_over(WRITTEN + 400, WRITTEN + 1700, [800, 300, 300]);
+fn lease_granted_by_a_cut_off_owner_lapses_before_its_work_starts_elsewhere() {
+    // The agent of the worker with a run polls it as well, and pings later in each second than the
+    // others.
+    let (granted, started) =
+        last_grant_and_start(LAST_WRITE_AT + 400, LAST_WRITE_AT + 1700, [800, 300, 300]);
     assert!(
-        started >= granted + LEASE,
+        started >= granted + SHORTEST_LEASE_MS,
         "started elsewhere {} ms after the last write, but granted until {} ms after it",
-        started - WRITTEN,
-        granted + LEASE - WRITTEN
+        started - LAST_WRITE_AT,
+        granted + SHORTEST_LEASE_MS - LAST_WRITE_AT
     );
 }
 
-// Symptom: a task runs twice, for up to 0.4 s. Sequence: the connections of an owner break and
-// it is cut off from the table, the entries and all agents but one, right after a write; another
-// entry takes over 0.7 s after its connection broke (`LOST` in the election, and as little as
-// nothing for its stagger), and speaks to all other agents at once. Cause: an owner that the
-// table does not confirm grants by itself for 1.5 s (`unconfirmed`), "shorter than others wait
-// before they" take over, which holds for a row that stands still (1.7 s), not for this.
+// A task ran twice, for up to 0.4 s. Right after a write the connections of an owner break, and it
+// is cut off from the table, the entries and all agents but one; another entry takes over 0.7 s
+// after its connection broke, with a stagger of as little as nothing, and connects to all other
+// agents at once. An owner that the table does not confirm goes on granting for 1.5 s (the setting
+// `unconfirmed`), which is shorter than the wait of other entries for an unchanged row (1.7 s), but
+// not than this one.
 #[test]
-fn what_an_owner_whose_connections_broke_grants_has_lapsed_in_time() {
-    let (granted, started) = take_over(WRITTEN, WRITTEN + 800, [500; 3]);
-    assert!(started >= granted + LEASE, "started at {started}, granted until {}", granted + LEASE);
+fn lease_granted_by_an_owner_whose_connections_broke_lapses_in_time() {
+    let (granted, started) = last_grant_and_start(LAST_WRITE_AT, LAST_WRITE_AT + 800, [500; 3]);
+    assert!(
+        started >= granted + SHORTEST_LEASE_MS,
+        "started at {started}, granted until {}",
+        granted + SHORTEST_LEASE_MS
+    );
 }
 
-// Symptom: as above, for up to 0.5 s. Sequence: the owner loses the table first, and most
-// agents 1.6 s later, just before another entry takes over. Cause: agents heard within 1.1 s
-// count as spoken to, and the new owner speaks to them before those are over.
+// The same, for up to 0.5 s: the owner loses the table first, and most agents 1.6 s later, just
+// before another entry takes over. Agents that sent something within 1.1 s count as in contact, and
+// the new owner connects to them before that time is over.
 #[test]
-fn what_an_owner_grants_that_loses_the_agents_last_has_lapsed_in_time() {
-    let (granted, started) = take_over(WRITTEN + 1600, WRITTEN + 1700, [500; 3]);
-    assert!(started >= granted + LEASE, "started at {started}, granted until {}", granted + LEASE);
+fn lease_granted_by_an_owner_that_loses_its_agents_last_lapses_in_time() {
+    let (granted, started) =
+        last_grant_and_start(LAST_WRITE_AT + 1600, LAST_WRITE_AT + 1700, [500; 3]);
+    assert!(
+        started >= granted + SHORTEST_LEASE_MS,
+        "started at {started}, granted until {}",
+        granted + SHORTEST_LEASE_MS
+    );
 }
 
-// The same, whenever the agent that stays asks for its lease: counted as spoken to for as long as
-// their connections are open, the others let the owner grant it leases for 1.4 s too long.
+// The same, whenever the remaining agent asks for its lease: counted as in contact for as long as
+// their connections were open, the other agents let the owner grant it leases for 1.4 s too long.
 #[test]
-fn silent_agents_let_no_owner_grant_for_longer() {
-    for asks in (0..1000).step_by(100) {
-        let (granted, started) = take_over(WRITTEN + 1600, WRITTEN + 1700, [asks, 500, 500]);
-        let lapsed = granted + LEASE;
-        assert!(started >= lapsed, "asks at {asks}: started at {started}, granted until {lapsed}");
+fn silent_agents_do_not_extend_the_time_in_which_an_owner_grants() {
+    for ping_at in (0..1000).step_by(100) {
+        let (granted, started) =
+            last_grant_and_start(LAST_WRITE_AT + 1600, LAST_WRITE_AT + 1700, [ping_at, 500, 500]);
+        let lapsed = granted + SHORTEST_LEASE_MS;
+        assert!(
+            started >= lapsed,
+            "asks at {ping_at}: started at {started}, granted until {lapsed}"
+        );
     }
 }
 
-/// A former owner loses two of three agents at `cut`; the next claims at `claimed`. The agents
-/// ping at these milliseconds of each second. Returns the stamp of the last grant to the first,
-/// and when its work starts elsewhere.
-fn take_over(cut: u64, claimed: u64, pings: [u64; 3]) -> (u64, u64) {
-    let written = WRITTEN;
+/// Cuts a former owner off from two of three agents at `cut`; the next owner claims at `claimed`.
+/// The agents ping the former owner at these milliseconds of each second. Returns the stamp of its
+/// last grant to the first agent, and when the work of that agent's worker starts elsewhere.
+fn last_grant_and_start(cut: u64, claimed: u64, pings: [u64; 3]) -> (u64, u64) {
+    let written = LAST_WRITE_AT;
     let mut former = Owner::open(Settings::default(), 1, 1, 9_000);
     for number in 0..3 {
         former.linked(&format!("w{number}"), number, 9_000);
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -8,10 +8,9 @@
 use quincewheel_job::How;
 use quincewheel_wire::Notice;
 
-// Symptom: a task runs twice after a change of owner, or again after it was done.
-// Sequence: the new owner is connected to an agent and starts an older job before
-// the agent has said what its worker runs.
-// Cause: a connection alone was taken for a report.
+// A task ran twice after a change of owner, or again after it was done: the new owner is connected
+// to an agent and starts an older job before the agent has reported the worker's runs. A connection
+// alone counted as a report.
 #[test]
 fn older_jobs_wait_until_every_agent_has_reported() {
     let mut harness = Harness::new(2, 2);
@@ -32,7 +31,7 @@
 }
 
 #[test]
-fn an_agent_that_stays_away_holds_older_jobs_until_its_leases_have_lapsed() {
+fn unconnected_agent_delays_older_jobs_until_its_leases_have_lapsed() {
     let mut harness = Harness::new(2, 2);
     harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
     harness.connect(0);
@@ -50,18 +49,17 @@
     ");
 }
 
-// An agent that has just started itself does not know its worker yet, which may
-// run on all the same.
+// An agent that has just started does not know its worker yet, which may still have runs.
 #[test]
-fn an_agent_that_knows_no_worker_has_not_reported() {
+fn agent_that_knows_no_worker_has_not_reported() {
     let mut harness = Harness::new(2, 2);
     harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     harness.connect(1);
     let (running, ended) = (Vec::new(), Vec::new());
-    let none = Notice::Status { stamp: 0, worker: None, fenced: false, running, ended };
-    harness.deliver(1, none);
+    let no_worker = Notice::Status { stamp: 0, worker: None, fenced: false, running, ended };
+    harness.deliver(1, no_worker);
     let before = harness.take_orders();
     harness.deliver(1, Notice::Left { worker: "i1".into() });
     harness.advance(100);
@@ -72,12 +70,11 @@
     ");
 }
 
-// Symptom: after all processes were killed, older jobs stand still for 14 s. Sequence: half
-// of the workers are lost for good, then all processes end; the entry that owned comes back
-// and claims again. Cause: it waited for a former owner that may live on, cut off, though
-// that was its own former life.
+// After all processes were killed, older jobs stood still for 14 s. Half of the workers are lost
+// for good and all processes end; the entry that owned comes back and claims again. It waited for a
+// former owner that might still be running, cut off, though that was its own former incarnation.
 #[test]
-fn an_owner_whose_former_life_owned_waits_for_no_more_than_a_lease() {
+fn restarted_owner_waits_only_one_lease_after_its_own_ownership() {
     let mut harness = Harness::new(2, 4);
     harness.owner.former_ended();
     harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
@@ -96,22 +93,22 @@
     ");
 }
 
-// A claim that follows another one closely cannot tell whether the owner before those two
-// has ended, and must wait for it.
+// A claim that follows another one closely cannot tell whether the owner before those two has
+// ended, and must wait for it.
 #[test]
-fn only_an_owner_that_was_settled_vouches_for_those_before_it() {
+fn only_a_settled_owners_row_proves_that_earlier_owners_have_ended() {
     let row = |holder: &str, settled| Ownership {
         holder: holder.to_owned(),
         settled,
         ..Ownership::default()
     };
-    let seen = [("a", true), ("a", false), ("", true), ("", false), ("b", true)];
-    let ended = seen.map(|(holder, settled)| row(holder, settled).has_ended("a"));
+    let rows = [("a", true), ("a", false), ("", true), ("", false), ("b", true)];
+    let ended = rows.map(|(holder, settled)| row(holder, settled).has_ended("a"));
     assert_eq!(ended, [true, false, true, false, false]);
 }
 
 #[test]
-fn ends_that_a_former_owner_did_not_record_count() {
+fn ends_that_the_former_owner_did_not_record_count() {
     let mut harness = Harness::new(2, 1);
     harness.owner.job("old", job(1, vec![step(1, 1), step(1, 1)]), 50, None);
     harness.connect(0);
@@ -125,11 +122,11 @@
     ");
 }
 
-// Symptom: a task runs again after it was done. Sequence: a job ends and is recorded;
-// the table forgets its history, and all rows are read anew by a call that was answered
-// before that record. Cause: the job's row was taken for a new job.
+// A task ran again after it was done. A job ends and is recorded; the table loses its history, and
+// all rows are read again by a call that was answered before that record. The job's row was taken
+// for a new job.
 #[test]
-fn a_job_that_ended_is_not_begun_anew_when_its_rows_are_told_again() {
+fn ended_job_does_not_start_again_when_its_rows_are_read_again() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let done = job(1, vec![step(1, 1)]);
     harness.owner.job("a", done.clone(), 150, None);
