--- a/crates/dispatch/tests/dismissal_late_answer.rs
+++ b/crates/dispatch/tests/dismissal_late_answer.rs
@@ -1,4 +1,4 @@
-//! Members that announce themselves before the answer to the write that drops them.
+//! Members that register again before the answer to the write that drops their row.
 
 mod harness;
 
@@ -8,23 +8,22 @@
 use quincewheel_job::Worker;
 use quincewheel_wire::{Notice, Order};
 
-// Symptom: what runs at a sound worker is cut off and lost, and the worker gets nothing until
-// its agent announces itself once more, 4 to 8 s later. Sequence: a worker leaves, and its
-// agent's row is dropped by a write whose answer is lost or late; the table's feed tells of
-// the drop, the next life of the worker reports, its agent announces itself at once, the feed
-// tells that, too, and work starts there; then the owner learns, by its second try, that the
-// write was done. Cause: the answer dismisses whoever has the name by then (`Owner::recorded`;
-// `finish` in the entry takes the new row out of the mirror likewise, so that it is not
-// dialled), though the feed has told a row that was written after the drop.
+// The runs at a sound worker were cut off and lost, and the worker got nothing until its agent
+// registered once more, 4 to 8 s later. A worker shuts down, and its agent's row is dropped by a
+// write whose answer is lost or late; the table's feed delivers the drop, the next incarnation of
+// the worker reports, its agent registers at once, the feed delivers that too, and work starts
+// there; then the owner learns by its second try that the write took effect. The answer dismissed
+// whichever agent had the name by then (and the entry took the new row out of its mirror, so that
+// the agent was not dialled), though the feed had delivered a row written after the drop.
 #[test]
-fn a_member_that_announced_itself_is_not_dismissed_by_a_late_answer() {
+fn member_that_registered_again_is_not_dismissed_by_a_late_answer() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let (running, ended) = (Vec::new(), Vec::new());
-    let none = Notice::Status { stamp: 0, worker: None, fenced: false, running, ended };
+    let no_worker = Notice::Status { stamp: 0, worker: None, fenced: false, running, ended };
     harness.deliver(1, Notice::Left { worker: "i1".into() });
-    harness.deliver(1, none);
+    harness.deliver(1, no_worker);
     let batch = harness.owner.record().unwrap_or_default();
-    // The feed tells of the drop, and then of the agent's new row.
+    // The feed delivers the drop, and then the agent's new row.
     harness.owner.unlisted("w1");
     harness.take_orders();
     harness.owner.agent("w1", harness.now);
@@ -40,19 +39,19 @@
     harness.owner.job("a", job(1, vec![step(2, 8)]), 150, None);
     harness.advance(100);
     harness.deliver(2, status(&[run(task("a", 0, 1), 1)], harness.now));
-    let began = harness.take_orders().contains("w2 start a.0.0.1");
+    let started = harness.take_orders().contains("w2 start a.0.0.1");
     harness.owner.recorded(&batch, true);
     harness.advance(100);
-    let told = harness.take_orders();
+    let orders = harness.take_orders();
     harness.owner.notice(2, Notice::Ping { stamp: harness.now, silent: 0 }, harness.now);
     let granted = harness
         .owner
         .outputs()
         .iter()
         .any(|output| matches!(output, Output::Send { link: 2, order: Order::Grant { .. } }));
-    let gone = batch.gone.join(" ");
+    let dropped = batch.gone.join(" ");
     assert_snapshot!(
-        format!("dropped {gone}, began there {began}\n-- answer\n{told}, granted {granted}"),
+        format!("dropped {dropped}, began there {started}\n-- answer\n{orders}, granted {granted}"),
         @r"
     dropped w1, began there true
     -- answer
--- a/crates/dispatch/tests/dismissed_reconnect.rs
+++ b/crates/dispatch/tests/dismissed_reconnect.rs
@@ -1,4 +1,4 @@
-//! Agents whose rows were dropped, and that are still there.
+//! Agents whose rows were dropped and that are still running.
 
 mod harness;
 
@@ -6,30 +6,29 @@
 use insta::assert_snapshot;
 use quincewheel_wire::Notice;
 
-// Symptom: after a change of owner, tasks run twice. Sequence: a worker leaves, and the
-// write that drops its agent's row is done; the owner closes the connection and dials at
-// once, as its feed has not told it of the dropped row yet; the agent, spoken to again,
-// does not announce itself when the worker's next life reports. Work starts there. A later
-// owner does not know the agent, and does not wait for it. Cause: a connection makes a
-// member of an agent that was dismissed.
+// Tasks ran twice after a change of owner. A worker shuts down, and the write that drops its
+// agent's row takes effect; the owner closes the connection and dials again at once, as the feed
+// has not delivered the drop yet; the agent, in contact again, does not register when the worker's
+// next incarnation reports. Work starts there, and a later owner does not know the agent and does
+// not wait for it. A connection made a member of an agent that had been dismissed.
 #[test]
-fn a_connection_alone_makes_no_member_of_an_agent_whose_row_is_gone() {
+fn connection_alone_makes_no_member_of_a_dismissed_agent() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.tick();
     harness.deliver(0, Notice::Left { worker: "i0".into() });
-    let gone = harness.record().gone;
+    let dropped = harness.record().gone;
     harness.take_orders();
-    // The dial that follows within 100 ms, and the worker's next life.
+    // The owner dials again within 100 ms, and the worker's next incarnation reports.
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.advance(1000);
     let before = harness.take_orders();
-    // Its row is read again.
+    // The agent registers, and its row is read.
     harness.owner.agent("w0", harness.now);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
-    assert_snapshot!(format!("{gone:?}\n{before}\n-- announced\n{}", harness.take_orders()), @r#"
+    assert_snapshot!(format!("{dropped:?}\n{before}\n-- announced\n{}", harness.take_orders()), @r#"
     ["w0"]
     close 0
     -- announced
@@ -37,11 +36,10 @@
     "#);
 }
 
-// Symptom: as above. Sequence: an agent announces itself while the write that drops its row
-// is under way; the feed tells its row, and then that it was dropped. Cause: only rows that
-// come were told to the owner, not those that go.
+// The same, where an agent registers while the write that drops its row is in flight: the feed
+// delivers its row, and then the drop. Only new rows were passed to the owner, not dropped ones.
 #[test]
-fn a_row_that_was_told_and_then_dropped_makes_no_member() {
+fn row_delivered_and_then_dropped_makes_no_member() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.tick();
     harness.deliver(0, Notice::Left { worker: "i0".into() });
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -1,4 +1,4 @@
-//! Connections to agents that break, fall silent or come twice.
+//! Connections to agents that break, carry nothing or are opened twice.
 
 mod harness;
 
@@ -6,11 +6,10 @@
 use insta::assert_snapshot;
 use quincewheel_wire::Notice;
 
-// Symptom: nothing starts or ends any more at some workers, and nothing says why.
-// Sequence: the connection to an agent stays open but carries nothing.
-// Cause: only a closed connection was taken for a lost one.
+// Nothing started or ended any more at some workers, without a log line. The connection to an agent
+// stays open but carries nothing, and only a closed connection was considered lost.
 #[test]
-fn a_connection_on_which_nothing_comes_is_closed() {
+fn connection_that_carries_nothing_is_closed() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.advance(2000);
     let before = harness.take_orders();
@@ -22,17 +21,17 @@
 }
 
 #[test]
-fn a_second_connection_replaces_the_first() {
+fn second_connection_replaces_the_first() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.linked("w0", 9, harness.now);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @r"close 0");
 }
 
-// Symptom: a start is lost. Sequence: the connection breaks after the order.
-// Cause: the order went down with it; the owner must give it again.
+// A start was lost: the connection breaks after the order, which is lost with it, so the owner must
+// send it again.
 #[test]
-fn orders_are_given_again_on_a_new_connection() {
+fn unconfirmed_orders_are_sent_again_on_a_new_connection() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
@@ -51,17 +50,16 @@
     ");
 }
 
-// Symptom: one task has a hundred starts within a second, two of them at once.
-// Sequence: a worker's answers are lost for longer than a lease; the owner takes
-// its runs for lapsed, starts them there again, and takes those for lapsed at once.
-// Cause: the silence was counted against runs that began within it.
+// One task had a hundred starts within a second, two of them running at once. A worker's answers
+// are lost for longer than a lease; the owner considers its runs lapsed, starts them there again,
+// and considers those lapsed at once. The silence was counted against runs that started within it.
 #[test]
-fn a_silent_worker_loses_old_runs_only_and_gets_no_new_ones() {
+fn silent_worker_loses_only_its_old_runs_and_gets_no_new_ones() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
-    let began = harness.take_orders();
+    let first = harness.take_orders();
     harness.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
     harness.owner.job("c", job(1, vec![step(1, 1)]), 152, None);
     for silent in [2000, 4000, 6300, 6400] {
@@ -69,19 +67,19 @@
         harness.deliver(1, Notice::Ping { stamp: harness.now, silent: 0 });
         harness.deliver(0, Notice::Ping { stamp: harness.now, silent });
     }
-    assert_snapshot!(format!("{began}\n-- silent\n{}", harness.take_orders()), @r"
+    assert_snapshot!(format!("{first}\n-- silent\n{}", harness.take_orders()), @r"
     w0 start a.0.0.0 run 1 
     -- silent
     w1 start b.0.0.0 run 1
     ");
 }
 
-// Symptom: gangs wait for 19 s with `remains of a former start`, while a lease is 10 s.
-// Sequence: a worker is taken away; its agent lives on for as long as it has for shutting
-// down, pings, and ends just before the silence is a lease long. Cause: from then on the
-// leases counted from the agent's last ping, as if its worker had answered then.
+// Gangs waited 19 s for `remains of a former start`, while a lease is 10 s. A worker is removed;
+// its agent runs for as long as it has for its shutdown, sends pings, and ends just before the
+// silence reaches a lease. From then on the leases were counted from the agent's last ping, as if
+// its worker had answered then.
 #[test]
-fn what_ran_at_a_dead_worker_lapses_by_its_last_answer_though_its_agent_lived_on() {
+fn runs_of_a_lost_worker_lapse_by_its_last_answer_though_its_agent_still_pings() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
@@ -98,8 +96,8 @@
     while again.is_empty() && harness.now < begin + 20_000 {
         harness.advance(100);
         harness.deliver(1, Notice::Ping { stamp: harness.now, silent: 0 });
-        let told = harness.take_orders();
-        let start = told.lines().find(|line| line.contains("start"));
+        let orders = harness.take_orders();
+        let start = orders.lines().find(|line| line.contains("start"));
         again = start.map(|line| format!("{} ms: {line}", harness.now - begin)).unwrap_or_default();
     }
     assert_snapshot!(again, @"7700 ms: w1 start a.0.0.0 run 2");
--- a/crates/dispatch/tests/worker_shutdown.rs
+++ b/crates/dispatch/tests/worker_shutdown.rs
@@ -1,4 +1,4 @@
-//! Workers that end, with work that goes on elsewhere.
+//! Workers that shut down while their runs are needed elsewhere.
 
 mod harness;
 
@@ -6,20 +6,19 @@
 use insta::assert_snapshot;
 use quincewheel_wire::Notice;
 
-// Symptom: work stands still for a lease after a worker has left in good order, beside
-// idle workers. Sequence: a worker says that it ends while it runs something, and
-// the owner did not know it as draining; its agent
-// tells that, and then that it knows no worker. Cause: the owner decides between the two,
-// and the worker that has just left has the most room.
+// Work stood still for a lease after a worker had shut down in good order, beside idle workers. A
+// worker that the owner did not know as draining reports that it ends while it has a run; its agent
+// sends that, and then that it knows no worker. The owner decides between the two, and the worker
+// that has just shut down has the most capacity.
 #[test]
-fn what_ran_at_a_worker_that_left_starts_elsewhere_at_once() {
+fn runs_of_a_worker_that_shut_down_start_elsewhere_at_once() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
-    let began = harness.take_orders();
+    let first = harness.take_orders();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     harness.advance(1000);
-    // As `Runner::leave` tells it: two notices, each followed by a round of decisions.
+    // An agent reports a shutdown in two notices, each followed by a round of decisions.
     harness.deliver(0, Notice::Left { worker: "i0".into() });
     let (running, ended) = (Vec::new(), Vec::new());
     harness.deliver(
@@ -32,7 +31,7 @@
             harness.deliver(link, Notice::Ping { stamp: harness.now, silent: 0 });
         }
     }
-    assert_snapshot!(format!("{began}\n-- left, 3 s pass\n{}", harness.take_orders()), @r"
+    assert_snapshot!(format!("{first}\n-- left, 3 s pass\n{}", harness.take_orders()), @r"
     w0 start a.0.0.0 run 1 
     -- left, 3 s pass
     w1 start a.0.0.0 run 2 
