--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Availability zones that operators evacuate: what the owner decides, and what it tells.
+//! Evacuations of availability zones: what the owner decides, and what it reports.
 
 mod harness;
 
@@ -11,55 +11,57 @@
 const EVENTS: [&str; 5] =
     ["zone evacuated", "zone empty", "evacuation over", "operators not heard", "operators heard"];
 
-fn zones(names: &[&str]) -> Evacuation {
+/// Returns an evacuation of these zones.
+fn evacuation_of(names: &[&str]) -> Evacuation {
     let mut zones = Evacuation::default();
     names.iter().for_each(|name| zones.begin(name));
     zones
 }
 
-/// Workers, the first two of which are in zone `a`, the others in `b`.
-fn open(workers: u64) -> Harness {
+/// Creates an owner with idle workers; the first two are in zone `a`, the others in `b`.
+fn two_zones(workers: u64) -> Harness {
     let mut harness = Harness::new(1, workers);
     harness.logged_events = EVENTS.to_vec();
     for number in 0..workers {
         harness.connect(number);
-        report(&mut harness, number, &[]);
+        report_in_zone(&mut harness, number, &[]);
     }
     harness.take_orders();
     harness.take_logs();
     harness
 }
 
-fn report(harness: &mut Harness, number: u64, running: &[quincewheel_job::Run]) {
+/// Sends a status of a worker with these runs.
+fn report_in_zone(harness: &mut Harness, number: u64, running: &[quincewheel_job::Run]) {
     let zone = if number < 2 { "a" } else { "b" }.to_owned();
     let worker = Some(Worker { zone, ..worker(number) });
     let (stamp, running, ended) = (harness.now, running.to_vec(), Vec::new());
     harness.deliver(number, Notice::Status { stamp, worker, fenced: true, running, ended });
 }
 
-// Symptom: operators switch a zone off in which work goes on. Cause: an owner that has just taken over
-// said that the zone is empty before it had heard what runs there.
+// Operators switched off a zone in which work was going on: an owner that had just taken over
+// reported the zone empty before it had received what runs there.
 #[test]
-fn a_zone_is_told_empty_once_and_only_when_all_that_may_run_there_is_known() {
+fn zone_is_reported_empty_once_and_only_when_all_runs_in_it_are_known() {
     let mut harness = Harness::new(2, 2);
     harness.logged_events = EVENTS.to_vec();
     harness.owner.job("old", job(0, vec![step(1, 8)]), 50, None);
-    harness.owner.evacuate(&zones(&["a"]), harness.now);
+    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
     harness.advance(300);
-    let unheard = format!("{}\n{:?}", harness.take_logs(), harness.owner.evacuated());
+    let before_reports = format!("{}\n{:?}", harness.take_logs(), harness.owner.evacuated());
     for number in 0..2 {
         harness.connect(number);
-        report(&mut harness, number, &[run(task("old", 0, 0), 1)][number as usize..]);
+        report_in_zone(&mut harness, number, &[run(task("old", 0, 0), 1)][number as usize..]);
     }
     harness.advance(300);
     let busy = harness.take_logs();
     harness.owner.cancel("old", harness.now);
     harness.deliver(0, Notice::Stopped { task: task("old", 0, 0), run: 1 });
-    report(&mut harness, 0, &[]);
+    report_in_zone(&mut harness, 0, &[]);
     harness.deliver(0, Notice::Stopped { task: task("old", 0, 0), run: 1 });
     harness.advance_with_pings(1000, 2);
     let empty = format!("{}\n{:?}", harness.take_logs(), harness.owner.evacuated());
-    assert_snapshot!(format!("{unheard}\n--\n{busy}\n--\n{empty}"), @r#"
+    assert_snapshot!(format!("{before_reports}\n--\n{busy}\n--\n{empty}"), @r#"
     zone evacuated a: 0 workers take nothing new, 0 runs go on, as far as is known yet
     (1, 1)
     --
@@ -70,12 +72,12 @@
     "#);
 }
 
-// Symptom: a gang that wants one rack waits beside room for it. Load: half of a pool of two zones is
-// evacuated while gangs come; the racks of the other zone count as if there were no others.
+// A gang that needs one rack waited beside a rack with capacity. Load: half of a pool of two zones
+// is evacuated while gangs come; the racks of the other zone count as if there were no others.
 #[test]
-fn gangs_begin_in_the_racks_of_the_zones_that_are_left() {
-    let mut harness = open(6);
-    harness.owner.evacuate(&zones(&["a"]), harness.now);
+fn gangs_start_in_the_racks_of_the_remaining_zones() {
+    let mut harness = two_zones(6);
+    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
     harness.tick();
     harness.take_orders();
     let gang = Step { gang: true, same_rack: true, ..step(3, 8) };
@@ -88,17 +90,17 @@
     "#);
 }
 
-// Symptom: a team's guaranteed job waits while others borrow its room in the zones that are left.
+// A team's guaranteed job waited while others borrowed its capacity in the remaining zones.
 #[test]
-fn guaranteed_room_is_made_in_the_zones_that_are_left() {
-    let mut harness = open(3);
+fn capacity_for_a_guarantee_is_freed_in_the_remaining_zones() {
+    let mut harness = two_zones(3);
     let team = Team { name: "t".into(), guaranteed: 8 };
     let teams = [("t".to_owned(), team)].into();
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
-    harness.owner.evacuate(&zones(&["a"]), harness.now);
+    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
     harness.owner.job("other", Job { team: "o".into(), ..job(1, vec![step(1, 8)]) }, 150, None);
     harness.tick();
-    report(&mut harness, 2, &[run(task("other", 0, 0), 1)]);
+    report_in_zone(&mut harness, 2, &[run(task("other", 0, 0), 1)]);
     harness.take_orders();
     harness.owner.job("owed", Job { accepted: harness.now, ..job(0, vec![step(1, 8)]) }, 160, None);
     harness.tick();
@@ -107,20 +109,20 @@
     "#);
 }
 
-// Symptom: after a zone is evacuated, work starts there by an order that a broken connection held up.
-// Sequence: a gang's starts are ordered, the connection of one member breaks, the zone is evacuated.
+// Work started in a zone after its evacuation, by an order that a broken connection had held up: a
+// gang's starts are ordered, the connection of one member breaks, and the zone is evacuated.
 #[test]
-fn a_start_that_is_not_confirmed_is_not_ordered_again_in_an_evacuated_zone() {
-    let mut harness = open(3);
+fn unconfirmed_start_in_an_evacuated_zone_is_stopped_instead_of_sent_again() {
+    let mut harness = two_zones(3);
     let gang = Step { gang: true, ..step(3, 8) };
     harness.owner.job("gang", job(0, vec![gang]), 150, None);
     harness.tick();
     harness.owner.unlinked(0);
-    harness.owner.evacuate(&zones(&["a"]), harness.now);
+    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
     harness.tick();
     harness.take_orders();
     harness.connect(0);
-    report(&mut harness, 0, &[]);
+    report_in_zone(&mut harness, 0, &[]);
     assert_snapshot!(harness.take_orders(), @r#"
     w0 evacuate ["a"]
     w0 stop gang.0.0.0 run 1
@@ -129,14 +131,14 @@
     "#);
 }
 
-// Symptom: work starts in a zone seconds after it was evacuated. Sequence: the table answers operators,
-// and neither the owner nor the others. What an owner has not heard of it cannot keep.
+// Work started in a zone seconds after its evacuation: the table answers operators, but neither the
+// owner nor the other entries. An owner cannot follow an evacuation that it has not read.
 #[test]
-fn an_owner_that_has_not_heard_of_operators_for_long_starts_nothing() {
-    let mut harness = open(2);
+fn owner_that_has_not_read_the_evacuations_for_long_starts_nothing() {
+    let mut harness = two_zones(2);
     let settings = Settings { evacuation: Some(5000), ..Settings::default() };
     harness.owner.tune(settings);
-    harness.owner.evacuate(&zones(&[]), harness.now);
+    harness.owner.evacuate(&evacuation_of(&[]), harness.now);
     harness.advance_with_pings(3600, 2);
     harness.owner.job("before", job(0, vec![step(1, 1)]), 150, None);
     harness.tick();
@@ -144,14 +146,15 @@
     harness.advance_with_pings(200, 2);
     harness.owner.job("after", job(0, vec![step(1, 1)]), 160, None);
     harness.advance_with_pings(2000, 2);
-    let unheard = harness.take_orders();
-    harness.owner.evacuate(&zones(&["a"]), harness.now);
+    let not_read = harness.take_orders();
+    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
     harness.tick();
     let evacuated = harness.take_orders();
-    harness.owner.evacuate(&zones(&[]), harness.now);
+    harness.owner.evacuate(&evacuation_of(&[]), harness.now);
     harness.tick();
-    let told = format!("{before}\n--\n{unheard}\n--\n{evacuated}\n--\n{}", harness.take_orders());
-    assert_snapshot!(format!("{told}\n--\n{}", harness.take_logs()), @r#"
+    let orders =
+        format!("{before}\n--\n{not_read}\n--\n{evacuated}\n--\n{}", harness.take_orders());
+    assert_snapshot!(format!("{orders}\n--\n{}", harness.take_logs()), @r#"
     w0 start before.0.0.0 run 1 
     --
     nothing
@@ -170,10 +173,10 @@
     "#);
 }
 
-// Symptom: nothing starts on a deployment whose settings name no bound for evacuations.
+// Nothing started on a deployment whose settings have no bound for evacuations.
 #[test]
-fn an_owner_without_a_bound_for_evacuations_starts_what_it_is_given() {
-    let mut harness = open(2);
+fn owner_without_a_bound_for_evacuations_starts_jobs() {
+    let mut harness = two_zones(2);
     harness.advance_with_pings(20_000, 2);
     harness.take_orders();
     harness.owner.job("work", job(0, vec![step(1, 1)]), 150, None);
@@ -183,14 +186,14 @@
     "#);
 }
 
-// Symptom: an agent goes on refusing work after the zone was taken back. Sequence: it was not connected
-// when that was told; it is again under the same owner, which then tells it that nothing is evacuated.
+// An agent went on refusing work after the evacuation had ended. It was not connected when that was
+// sent; it connects again under the same owner, which must then send that no zone is evacuated.
 #[test]
-fn an_agent_that_missed_the_end_of_an_evacuation_is_told_when_it_is_back() {
-    let mut harness = open(2);
-    harness.owner.evacuate(&zones(&["a"]), harness.now);
+fn agent_that_missed_the_end_of_an_evacuation_is_notified_on_reconnect() {
+    let mut harness = two_zones(2);
+    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
     harness.owner.unlinked(0);
-    harness.owner.evacuate(&zones(&[]), harness.now);
+    harness.owner.evacuate(&evacuation_of(&[]), harness.now);
     harness.collect_outputs();
     harness.take_orders();
     harness.connect(0);
@@ -201,9 +204,9 @@
 }
 
 #[test]
-fn an_owner_that_knows_of_no_evacuation_tells_agents_nothing() {
+fn owner_without_evacuations_sends_agents_none() {
     let mut owner = Owner::open(Settings::default(), 1, 1, 0);
-    owner.evacuate(&zones(&[]), 5);
+    owner.evacuate(&evacuation_of(&[]), 5);
     owner.linked("w0", 0, 10);
     assert_eq!(owner.outputs().len(), 1);
 }
--- a/crates/dispatch/tests/upkeep.rs
+++ b/crates/dispatch/tests/upkeep.rs
@@ -1,4 +1,4 @@
-//! Waves of maintenance.
+//! Waves of maintenance: when machines are taken down, and how many at a time.
 
 mod harness;
 
@@ -9,13 +9,15 @@
 use quincewheel_job::{Condition, Machine, Run, Step, Wave};
 use quincewheel_wire::Notice;
 
-/// A wave over machines `m0` to `mN`, on which the workers `i0` to `iN` live.
+/// Returns a wave over the machines `m0` to `m{machines - 1}`, which host the workers of the same
+/// numbers, with at most `most` machines down at a time.
 fn wave(machines: u64, most: usize, duration: u64) -> Wave {
     let names = (0..machines).map(|number| format!("m{number}")).collect();
     Wave { number: 1, machines: names, duration, most }
 }
 
-fn list(harness: &mut Harness, conditions: &[Condition]) {
+/// Sends a machine list with these conditions.
+fn send_machine_list(harness: &mut Harness, conditions: &[Condition]) {
     let machine = |(number, condition): (usize, &Condition)| Machine {
         name: format!("m{number}"),
         condition: *condition,
@@ -25,13 +27,13 @@
     harness.owner.machines(machines, true, 1, harness.now);
 }
 
-/// What a former owner recorded.
-fn seen(done: bool) -> Seen {
+/// Returns the record of a wave that a former owner began.
+fn wave_record(done: bool) -> Seen {
     Seen { at: 0, done }
 }
 
-/// Passes `ms` while all agents ping.
-fn pass(harness: &mut Harness, ms: u64, agents: u64) {
+/// Advances the clock by `ms` while the agents send pings, and drops requests for the machine list.
+fn advance(harness: &mut Harness, ms: u64, agents: u64) {
     for _ in 0..ms / 500 {
         harness.advance(500);
         for number in 0..agents {
@@ -41,34 +43,34 @@
     harness.orders.retain(|line| line != "list");
 }
 
-/// Three idle machines and a wave that lets one be down at a time.
-fn begun(duration: u64) -> Harness {
+/// Creates an owner with three idle machines and a wave that allows one of them down at a time.
+fn wave_in_progress(duration: u64) -> Harness {
     let mut harness = Harness::new(1, 3).with_idle_workers(3);
-    pass(&mut harness, 3000, 3);
+    advance(&mut harness, 3000, 3);
     harness.owner.wave(&wave(3, 1, duration), None, harness.now);
-    list(&mut harness, &[Condition::Up; 3]);
+    send_machine_list(&mut harness, &[Condition::Up; 3]);
     harness
 }
 
 #[test]
-fn machines_go_down_one_by_one_and_the_wave_is_done_when_all_have_begun() {
+fn machines_go_down_one_by_one_and_the_wave_is_done_once_all_have_begun() {
     use Condition::{Maintained, Up};
-    let mut harness = begun(60_000);
-    let mut told = Vec::new();
-    for (machine, during) in
+    let mut harness = wave_in_progress(60_000);
+    let mut orders = Vec::new();
+    for (machine, conditions) in
         [("m0", [Maintained, Up, Up]), ("m1", [Up, Maintained, Up]), ("m2", [Up, Up, Maintained])]
     {
         harness.tick();
         harness.owner.taken(1, machine, Taken::Begun, harness.now);
-        pass(&mut harness, 500, 3);
-        list(&mut harness, &during);
-        pass(&mut harness, 500, 3);
-        told.push(harness.take_orders());
-        list(&mut harness, &[Up; 3]);
+        advance(&mut harness, 500, 3);
+        send_machine_list(&mut harness, &conditions);
+        advance(&mut harness, 500, 3);
+        orders.push(harness.take_orders());
+        send_machine_list(&mut harness, &[Up; 3]);
     }
     harness.tick();
-    told.push(harness.take_orders());
-    assert_snapshot!(told.join("\n--\n"), @r"
+    orders.push(harness.take_orders());
+    assert_snapshot!(orders.join("\n--\n"), @r"
     wave 1 done false
     take m0 for 1
     --
@@ -81,18 +83,18 @@
     ");
 }
 
-// Symptom: more machines are down than a wave allows. Sequence: the call for one gets no
-// answer and is carried out late. Cause: it counted as not begun.
+// More machines were down than a wave allows: the call for one gets no answer and takes effect
+// late, and it was counted as not begun.
 #[test]
-fn a_machine_whose_call_got_no_answer_counts_as_down_and_is_called_again() {
-    let mut harness = begun(60_000);
+fn machine_whose_maintenance_call_got_no_answer_counts_as_down_and_is_called_again() {
+    let mut harness = wave_in_progress(60_000);
     harness.tick();
     let first = harness.take_orders();
     harness.owner.taken(1, "m0", Taken::Unclear, harness.now);
-    list(&mut harness, &[Condition::Up; 3]);
-    pass(&mut harness, 1000, 3);
+    send_machine_list(&mut harness, &[Condition::Up; 3]);
+    advance(&mut harness, 1000, 3);
     let waiting = harness.take_orders();
-    pass(&mut harness, 1000, 3);
+    advance(&mut harness, 1000, 3);
     assert_snapshot!(format!("{first}\n-- no answer\n{waiting}\n-- 2 s\n{}", harness.take_orders()), @r"
     wave 1 done false
     list
@@ -105,21 +107,21 @@
 }
 
 #[test]
-fn a_busy_machine_takes_nothing_new_and_goes_down_once_idle_or_when_time_presses() {
+fn busy_machine_takes_nothing_new_and_goes_down_when_the_wave_runs_out_of_time() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    pass(&mut harness, 3000, 1);
+    advance(&mut harness, 3000, 1);
     harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     harness.take_orders();
     harness.owner.wave(&wave(1, 1, 10_000), None, harness.now);
-    list(&mut harness, &[Condition::Up]);
+    send_machine_list(&mut harness, &[Condition::Up]);
     harness.tick();
     harness.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
-    pass(&mut harness, 500, 1);
+    advance(&mut harness, 500, 1);
     let busy = harness.take_orders();
     for percent in [20, 30, 40, 50, 60, 70] {
-        pass(&mut harness, 1000, 1);
+        advance(&mut harness, 1000, 1);
         harness.report_status(0, &[Run { percent, ..run(task("a", 0, 0), 1) }], &[]);
     }
     assert_snapshot!(format!("{busy}\n-- when time presses\n{}", harness.take_orders()), @r"
@@ -129,26 +131,26 @@
     ");
 }
 
-// Symptom: a step that lasts misses more tasks than it may. Sequence: two machines of a
-// wave run tasks of the step, one of which may be missing. Cause: the wave did not look.
+// A perpetual step missed more tasks than it may: two machines of a wave run tasks of the step, one
+// of which may be missing, and the wave did not consider that.
 #[test]
-fn a_machine_stays_up_while_a_step_that_lasts_cannot_miss_its_tasks() {
+fn machine_stays_up_while_a_perpetual_step_cannot_miss_its_tasks() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    pass(&mut harness, 3000, 2);
+    advance(&mut harness, 3000, 2);
     let lasts = Step { perpetual: true, may_miss: 1, ..step(2, 8) };
     harness.owner.job("a", job(1, vec![lasts]), 150, None);
     harness.tick();
-    let at_work = |index| Run { percent: 100, ..run(task("a", 0, index), 1) };
-    harness.report_status(0, &[at_work(0)], &[]);
-    harness.report_status(1, &[at_work(1)], &[]);
+    let serving = |index| Run { percent: 100, ..run(task("a", 0, index), 1) };
+    harness.report_status(0, &[serving(0)], &[]);
+    harness.report_status(1, &[serving(1)], &[]);
     harness.take_orders();
     harness.owner.wave(&wave(2, 2, 60_000), None, harness.now);
-    list(&mut harness, &[Condition::Up; 2]);
+    send_machine_list(&mut harness, &[Condition::Up; 2]);
     harness.tick();
     let first = harness.take_orders();
     harness.owner.taken(1, "m0", Taken::Begun, harness.now);
     harness.deliver(0, Notice::Left { worker: "i0".into() });
-    pass(&mut harness, 1000, 2);
+    advance(&mut harness, 1000, 2);
     assert_snapshot!(format!("{first}\n-- one is away\n{}", harness.take_orders()), @r"
     wave 1 done false
     list
@@ -158,15 +160,15 @@
     ");
 }
 
-// Symptom: two owners order one machine by turns. Cause: a new owner began at once.
+// Two owners sent calls for one machine in turn, since a new owner began at once.
 #[test]
-fn a_new_owner_gives_no_orders_to_machines_before_the_former_ones_turn_is_over() {
+fn new_owner_sends_no_maintenance_calls_before_the_former_owners_turn_is_over() {
     let mut harness = Harness::new(2, 1).with_idle_workers(1);
-    harness.owner.wave(&wave(1, 1, 60_000), Some(seen(false)), harness.now);
-    list(&mut harness, &[Condition::Up]);
-    pass(&mut harness, 2500, 1);
+    harness.owner.wave(&wave(1, 1, 60_000), Some(wave_record(false)), harness.now);
+    send_machine_list(&mut harness, &[Condition::Up]);
+    advance(&mut harness, 2500, 1);
     let early = harness.take_orders();
-    pass(&mut harness, 1000, 1);
+    advance(&mut harness, 1000, 1);
     assert_snapshot!(format!("{early}\n-- 3 s\n{}", harness.take_orders()), @r"
     wave 1 done false
     -- 3 s
@@ -174,23 +176,23 @@
     ");
 }
 
-// Symptom: a worker gets no work any more after a change of owner. Sequence: the new
-// owner calls for a machine that the former one had taken down; the platform says that
-// it is done; the worker lives. Cause: the machine counted as about to go.
+// A worker got no work after a change of owner: the new owner sends the call for a machine that the
+// former one had taken down, the platform answers that it is done, and the worker is up. The
+// machine was counted as about to go down.
 #[test]
-fn a_machine_that_was_down_under_a_former_owner_goes_on_taking_work() {
+fn machine_maintained_under_a_former_owner_takes_work() {
     let mut harness = Harness::new(2, 1).with_idle_workers(1);
-    pass(&mut harness, 3000, 1);
-    harness.owner.wave(&wave(1, 1, 60_000), Some(seen(false)), harness.now);
-    list(&mut harness, &[Condition::Up]);
+    advance(&mut harness, 3000, 1);
+    harness.owner.wave(&wave(1, 1, 60_000), Some(wave_record(false)), harness.now);
+    send_machine_list(&mut harness, &[Condition::Up]);
     harness.tick();
     harness.owner.taken(1, "m0", Taken::Begun, harness.now);
     harness.take_orders();
     harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     let before = harness.take_orders();
-    pass(&mut harness, 500, 1);
-    list(&mut harness, &[Condition::Up]);
+    advance(&mut harness, 500, 1);
+    send_machine_list(&mut harness, &[Condition::Up]);
     harness.tick();
     assert_snapshot!(format!("{before}\n-- listed\n{}", harness.take_orders()), @r"
     wave 1 done true
@@ -199,44 +201,43 @@
     ");
 }
 
-// Symptom: a wave that was through is under way again after a change of owner.
-// Cause: only its begin was recorded.
+// A finished wave was in progress again after a change of owner, since only its begin was recorded.
 #[test]
-fn a_wave_that_is_through_stays_so_under_a_later_owner() {
-    let mut harness = begun(60_000);
+fn finished_wave_stays_finished_under_a_later_owner() {
+    let mut harness = wave_in_progress(60_000);
     for number in 0..3 {
         harness.owner.taken(1, &format!("m{number}"), Taken::Begun, harness.now);
     }
-    pass(&mut harness, 500, 3);
+    advance(&mut harness, 500, 3);
     let recorded = harness.record().waves;
     let mut later = Harness::new(2, 1).with_idle_workers(1);
-    later.owner.wave(&wave(1, 1, 60_000), Some(seen(true)), later.now);
-    list(&mut later, &[Condition::Up]);
-    pass(&mut later, 4000, 1);
+    later.owner.wave(&wave(1, 1, 60_000), Some(wave_record(true)), later.now);
+    send_machine_list(&mut later, &[Condition::Up]);
+    advance(&mut later, 4000, 1);
     assert_snapshot!(format!("{recorded:?}\n{}", later.take_orders()), @r"
     [(1, Seen { at: 13000, done: true })]
     wave 1 done true
     ");
 }
 
-// Symptom: a wave is told as through, and a machine of it keeps running without its
-// maintenance. Sequence: the list of machines has an entry of another writer under that
-// machine's place. Cause: a machine that is not listed counts as gone.
+// A wave was reported as finished while one of its machines kept running without its maintenance:
+// the list of machines has an entry of another writer in that machine's place, and a machine that
+// is not listed counts as removed.
 #[test]
-fn a_machine_whose_entry_cannot_be_read_is_not_taken_for_gone() {
+fn machine_with_an_unreadable_entry_is_not_considered_removed() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    pass(&mut harness, 3000, 2);
+    advance(&mut harness, 3000, 2);
     harness.owner.wave(&wave(2, 2, 60_000), None, harness.now);
     let first = Machine { name: "m0".into(), condition: Condition::Up, worker: "i0".into() };
     harness.owner.machines(vec![first.clone()], false, 1, harness.now);
     harness.tick();
     harness.owner.taken(1, "m0", Taken::Begun, harness.now);
-    pass(&mut harness, 500, 2);
+    advance(&mut harness, 500, 2);
     let unread = harness.take_orders();
-    list(&mut harness, &[Condition::Maintained, Condition::Up]);
+    send_machine_list(&mut harness, &[Condition::Maintained, Condition::Up]);
     harness.tick();
     harness.owner.taken(1, "m1", Taken::Begun, harness.now);
-    // Known before, m1 holds beside an entry that cannot be read.
+    // m1 was known before, so it still counts beside an entry that cannot be read.
     harness.owner.machines(vec![first], false, 1, harness.now);
     harness.tick();
     assert_snapshot!(format!("{unread}\n--\n{}", harness.take_orders()));
