--- a/crates/dispatch/tests/checkpoints.rs
+++ b/crates/dispatch/tests/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Checkpoints outlive the workers that told them.
+//! Checkpoints outlive the workers that reported them.
 
 mod harness;
 
@@ -6,31 +6,32 @@
 use insta::assert_snapshot;
 use quincewheel_job::{Run, Step};
 
-fn listed(harness: &mut Harness, saved: &str) {
+/// Sends a status of the worker whose run has this checkpoint.
+fn report_checkpoint(harness: &mut Harness, saved: &str) {
     let listed = Run { saved: saved.into(), ..run(task("a", 0, 0), 1) };
     harness.report_status(0, &[listed], &[]);
 }
 
-/// An owner that has heard three checkpoints, and its records.
-fn played() -> (Harness, Vec<String>) {
+/// Returns an owner that has received three checkpoints, and what it recorded of them.
+fn owner_and_records() -> (Harness, Vec<String>) {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let saving = Step { checkpoints: true, estimate: 9000, ..step(1, 1) };
     harness.owner.job("a", job(1, vec![saving]), 150, None);
     harness.tick();
-    let mut told = Vec::new();
+    let mut records = Vec::new();
     for (ms, saved) in [(1600, "c1"), (500, "c2"), (500, "c3"), (600, "c3"), (1600, "c3")] {
         harness.advance(ms);
-        listed(&mut harness, saved);
+        report_checkpoint(&mut harness, saved);
         let batch = harness.record();
-        told.push(serde_json::to_string(&batch.saved).unwrap());
+        records.push(serde_json::to_string(&batch.saved).unwrap());
     }
     harness.take_orders();
-    (harness, told)
+    (harness, records)
 }
 
 #[test]
-fn checkpoints_are_recorded_once_in_a_while_along_with_other_writes() {
-    assert_snapshot!(played().1.join("\n"), @r#"
+fn checkpoints_are_recorded_now_and_then_along_with_other_writes() {
+    assert_snapshot!(owner_and_records().1.join("\n"), @r#"
     [["a",{"tasks":[[0,0,0,"c1"]]}]]
     []
     []
@@ -39,16 +40,16 @@
     "#);
 }
 
-// Symptom: jobs that save their progress begin anew. Sequence: all machines lose power;
-// the workers come back without any memory. Cause: only workers had the checkpoints.
+// Jobs that save their progress started from the beginning: all machines lose power, and the
+// workers restart without state. Only workers had the checkpoints.
 #[test]
-fn a_job_goes_on_from_its_record_where_no_worker_remembers() {
+fn job_resumes_from_its_recorded_checkpoint_where_no_worker_has_one() {
     let mut before = Harness::new(1, 1).with_idle_workers(1);
     let saving = Step { checkpoints: true, estimate: 9000, ..step(1, 1) };
     before.owner.job("a", job(1, vec![saving.clone()]), 50, None);
     before.tick();
     before.advance(1600);
-    listed(&mut before, "c1");
+    report_checkpoint(&mut before, "c1");
     let batch = before.record();
     let mut harness = Harness::new(2, 1);
     harness.owner.job("a", job(1, vec![saving]), 50, None);
--- a/crates/dispatch/tests/mirror.rs
+++ b/crates/dispatch/tests/mirror.rs
@@ -14,27 +14,27 @@
 }
 
 #[allow(clippy::field_reassign_with_default)] // the other fields are private
-fn ended(state: State) -> Progress {
+fn progress_in(state: State) -> Progress {
     let mut progress = Progress::default();
     progress.state = state;
     progress
 }
 
 #[test]
-fn a_job_is_shown_by_its_rows_in_whatever_order_they_come() {
+fn job_state_follows_from_its_rows_in_any_order() {
     let mut mirror = Mirror::default();
-    let mut told = Vec::new();
+    let mut states = Vec::new();
     let state = |mirror: &Mirror| mirror.jobs.get("a").map(|view| view.state());
     for change in [
         put(rows::stop("a"), 1, &()),
         put(rows::job("a"), 2, &job(1, vec![step(1, 1)])),
-        put(rows::run("a"), 3, &ended(State::Succeeded)),
+        put(rows::run("a"), 3, &progress_in(State::Succeeded)),
         Change { key: rows::job("a"), version: 4, value: None },
     ] {
         let news = mirror.apply(&change);
-        told.push(format!("{:?} {news:?}", state(&mirror)));
+        states.push(format!("{:?} {news:?}", state(&mirror)));
     }
-    assert_snapshot!(told.join("\n"), @r#"
+    assert_snapshot!(states.join("\n"), @r#"
     Some(Cancelled) Some(Cancelled("a"))
     Some(Cancelled) Some(Job("a"))
     Some(Succeeded) None
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_older_ownership_does_not_replace_a_newer_one() {
+fn older_ownership_row_does_not_replace_a_newer_one() {
     let mut mirror = Mirror::default();
     let owner = |epoch| Ownership { holder: "e".into(), epoch, ..Ownership::default() };
     mirror.apply(&put(OWNER.into(), 9, &owner(4)));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_row_that_does_not_hold_what_it_should_is_told_and_left_out() {
+fn malformed_row_is_reported_and_left_out() {
     let mut mirror = Mirror::default();
     let value = Some("{".to_owned());
     let news = mirror.apply(&Change { key: rows::job("a"), version: 1, value });
@@ -61,66 +61,65 @@
     let node = Node { address: "10.0.0.1:7000".into(), entry: true, ..Node::default() };
     let first = mirror.apply(&put(rows::node("e1"), 2, &node));
     let again = mirror.apply(&put(rows::node("e1"), 3, &node));
-    // Told again, too: a process that announces itself anew wants to be dialled.
+    // The same row counts as news again: a process that registers again wants to be dialled.
     let news = || Some(News::Node("e1".into()));
     assert_eq!((first, again), (news(), news()));
 }
 
-// Symptom: memory and the table grow without end. Sequence: jobs end, their rows
-// stay. Cause: nobody dropped them.
+// Memory and the table grew without end: the rows of ended jobs stayed, as nothing dropped them.
 #[test]
-fn ended_jobs_expire_and_others_do_not() {
+fn only_ended_jobs_expire() {
     let mut mirror = Mirror::default();
     for id in ["a", "b", "c"] {
         mirror.apply(&put(rows::job(id), 1, &job(1, vec![step(1, 1)])));
     }
-    mirror.apply(&put(rows::run("a"), 2, &ended(State::Failed)));
+    mirror.apply(&put(rows::run("a"), 2, &progress_in(State::Failed)));
     mirror.apply(&put(rows::stop("c"), 3, &()));
-    let told = [
+    let expired = [
         mirror.expired(1000, 500, 5),
         mirror.expired(1499, 500, 5),
         mirror.expired(1500, 500, 5),
         mirror.expired(1500, 500, 1),
     ];
     mirror.apply(&Change { key: rows::job("a"), version: 4, value: None });
-    assert_snapshot!(format!("{told:?} {:?}", mirror.expired(9000, 500, 5)), @r#"[[], [], ["a", "c"], ["a"]] ["c"]"#);
+    assert_snapshot!(format!("{expired:?} {:?}", mirror.expired(9000, 500, 5)), @r#"[[], [], ["a", "c"], ["a"]] ["c"]"#);
 }
 
-// Symptom: a client is told that its job has ended, then that it runs. Sequence: all
-// rows are read anew by a call that was answered before the job's last record.
+// A client was answered that its job had ended, and then that it was running: all rows are read
+// again by a call that was answered before the job's last record.
 #[test]
-fn a_row_that_is_told_late_does_not_undo_a_later_one() {
+fn row_received_late_does_not_undo_a_later_one() {
     let mut mirror = Mirror::default();
     let row = put(rows::job("a"), 1, &job(1, vec![step(1, 1)]));
-    let running = put(rows::run("a"), 5, &ended(State::Running));
+    let running = put(rows::run("a"), 5, &progress_in(State::Running));
     mirror.apply(&row);
-    mirror.apply(&put(rows::run("a"), 9, &ended(State::Succeeded)));
+    mirror.apply(&put(rows::run("a"), 9, &progress_in(State::Succeeded)));
     mirror.apply(&running);
     let state = |mirror: &Mirror| mirror.jobs.get("a").map(|view| view.state());
-    let late = state(&mirror);
+    let after_late_row = state(&mirror);
     mirror.reload(&[row, running], 6);
-    assert_eq!((late, state(&mirror)), (Some(State::Succeeded), Some(State::Succeeded)));
+    assert_eq!((after_late_row, state(&mirror)), (Some(State::Succeeded), Some(State::Succeeded)));
 }
 
 #[test]
-fn rows_of_processes_that_go_are_news() {
+fn dropped_process_rows_are_news() {
     let mut mirror = Mirror::default();
     let value = Some(r#"{"address":"10.0.0.1:1"}"#.to_owned());
-    let there = mirror.apply(&Change { key: "node/w0".into(), version: 1, value });
-    let gone = mirror.apply(&Change { key: "node/w0".into(), version: 2, value: None });
-    assert_eq!(there, Some(News::Node("w0".into())));
-    assert_eq!(gone, Some(News::Unlisted("w0".into())));
+    let written = mirror.apply(&Change { key: "node/w0".into(), version: 1, value });
+    let dropped = mirror.apply(&Change { key: "node/w0".into(), version: 2, value: None });
+    assert_eq!(written, Some(News::Node("w0".into())));
+    assert_eq!(dropped, Some(News::Unlisted("w0".into())));
 }
 
-// Symptom: nobody can own the deployment, or a new owner waits a lease for an agent that
-// nobody has started, or a job stands still for ever. Sequence: somebody else writes a row
-// of the system's. Cause: what a row holds was believed by its key.
+// Nobody could own the deployment, or a new owner waited a lease for an agent that was never
+// started, or a job stood still for ever: another program wrote a row under one of the system's
+// keys, and its content was trusted because of the key.
 #[test]
-fn rows_of_another_writer_make_no_owner_no_agent_and_no_job() {
+fn malformed_rows_of_another_writer_are_ignored() {
     let mut mirror = Mirror::default();
     let owner = Ownership { holder: "e".into(), epoch: 4, ..Ownership::default() };
     mirror.apply(&put(OWNER.into(), 3, &owner));
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for (key, value) in [
         (OWNER.to_owned(), "\u{fffd}"),
         (rows::node("n1"), r#"{"address":"nowhere"}"#),
@@ -135,24 +134,23 @@
         let change = Change { key, version: 9, value: Some(value.to_owned()) };
         let news = mirror.apply(&change);
         let left_out = matches!(news, Some(News::Malformed { .. }));
-        told.push(format!("{} left out: {left_out}", change.key));
+        results.push(format!("{} left out: {left_out}", change.key));
     }
     let mut endless = job(1, vec![step(1, 1)]);
     endless.steps[0].after = vec![5];
     let news = mirror.apply(&put(rows::job("b"), 10, &endless));
-    told.push(format!("job/b left out: {}", matches!(news, Some(News::Malformed { .. }))));
-    told.push(format!("{} jobs, {} processes", mirror.jobs.len(), mirror.nodes.len()));
+    results.push(format!("job/b left out: {}", matches!(news, Some(News::Malformed { .. }))));
+    results.push(format!("{} jobs, {} processes", mirror.jobs.len(), mirror.nodes.len()));
     let (owner, version) = mirror.owner.unwrap();
-    told.push(format!("owner {} of epoch {} at version {version}", owner.holder, owner.epoch));
-    assert_snapshot!(told.join("\n"));
+    results.push(format!("owner {} of epoch {} at version {version}", owner.holder, owner.epoch));
+    assert_snapshot!(results.join("\n"));
 }
 
-// Symptom: a client is told "no such job" of one that this entry has just accepted, and the
-// owner does not decide over it. Sequence: the table forgets its history; all rows are read;
-// a job is stored and told while the answer is on its way. Cause: what was known was replaced
-// by an answer that is older.
+// A client got "no such job" for one that this entry had just accepted, and the owner did not
+// decide over it. The table loses its history, so all rows are read; a job is stored and received
+// while the answer is on its way. The known rows were replaced by an answer that was older.
 #[test]
-fn a_job_stored_since_all_rows_were_read_stays() {
+fn job_stored_after_all_rows_were_read_is_kept() {
     let mut mirror = Mirror::default();
     let row = |version| put(rows::job(&format!("j{version}")), version, &job(1, vec![step(1, 1)]));
     mirror.apply(&row(4));
@@ -162,23 +160,22 @@
     assert_snapshot!(format!("{known:?}"), @r#"["j5", "j9"]"#);
 }
 
-// Symptom: a sound agent gets no work until it announces itself again, 2 to 4 s later. Sequence: its
-// row is dropped and written anew; a new owner has the feed tell both; a call to the feed that was
-// made before is answered after that, and tells only the first. Cause: what came late was taken for
-// what came last.
+// A sound agent got no work until it registered again, 2 to 4 s later. Its row is dropped and
+// written again; a new owner receives both from the feed; a call to the feed that was made earlier
+// is answered after that, with only the drop. What arrived last was considered the latest state.
 #[test]
-fn an_answer_of_the_feed_that_is_overtaken_changes_nothing() {
+fn feed_answer_overtaken_by_a_later_one_changes_nothing() {
     let mut mirror = Mirror::default();
     let node = |version: u64| {
         let node = Node { address: "10.0.0.1:7000".into(), ..Node::default() };
         put(rows::node("agent-1"), version, &node)
     };
-    let gone = Change { key: rows::node("agent-1"), version: 10, value: None };
-    let changes = [node(8), gone.clone(), node(12)];
+    let dropped = Change { key: rows::node("agent-1"), version: 10, value: None };
+    let changes = [node(8), dropped.clone(), node(12)];
     let first = mirror.follow(&changes, 12).len();
-    let late = mirror.follow(&[gone], 10);
+    let overtaken = mirror.follow(&[dropped], 10);
     assert_snapshot!(
-        format!("{first} {late:?} {} {}", mirror.nodes.len(), mirror.version),
+        format!("{first} {overtaken:?} {} {}", mirror.nodes.len(), mirror.version),
         @"3 [] 1 12"
     );
 }
--- a/crates/dispatch/tests/run_times.rs
+++ b/crates/dispatch/tests/run_times.rs
@@ -3,35 +3,35 @@
 use insta::assert_snapshot;
 use quincewheel_dispatch::Times;
 
-fn learned(samples: &[(u64, u64)]) -> String {
+fn expected_after(samples: &[(u64, u64)]) -> String {
     let mut times = Times::default();
     for &(estimate, took) in samples {
         times.learn("q", estimate, took);
     }
-    let told = [300, 1000, 5000].map(|estimate| times.expect("q", estimate).to_string());
-    told.join(" ")
+    let expected = [300, 1000, 5000].map(|estimate| times.expect("q", estimate).to_string());
+    expected.join(" ")
 }
 
 #[test]
-fn an_estimate_stands_until_a_few_steps_have_ended() {
-    assert_snapshot!(learned(&[(1000, 2000), (1000, 2000)]), @"300 1000 5000");
+fn estimate_is_used_until_a_few_steps_have_ended() {
+    assert_snapshot!(expected_after(&[(1000, 2000), (1000, 2000)]), @"300 1000 5000");
 }
 
 #[test]
-fn estimates_that_say_nothing_give_way_to_the_usual_run_time() {
+fn uninformative_estimates_are_replaced_by_the_usual_run_time() {
     let samples = [(200, 2500), (4500, 2400), (300, 2600), (4000, 2500), (1000, 2450)];
-    assert_snapshot!(learned(&samples), @"2471 2488 2512");
+    assert_snapshot!(expected_after(&samples), @"2471 2488 2512");
 }
 
 #[test]
-fn estimates_that_are_off_by_a_constant_are_corrected() {
+fn estimates_off_by_a_constant_factor_are_corrected() {
     let samples = [(500, 1000), (1000, 2000), (4000, 8000), (2000, 4000)];
-    assert_snapshot!(learned(&samples), @"615 2011 9795");
+    assert_snapshot!(expected_after(&samples), @"615 2011 9795");
 }
 
 #[test]
-fn a_queue_whose_work_changes_is_followed() {
+fn expected_run_times_follow_a_queue_whose_work_changes() {
     let before = [(1000, 1000); 200];
     let after = [(1000, 4000); 100];
-    assert_snapshot!(learned(&[before.as_slice(), after.as_slice()].concat()), @"1871 3416 7640");
+    assert_snapshot!(expected_after(&[before.as_slice(), after.as_slice()].concat()), @"1871 3416 7640");
 }
--- a/crates/dispatch/tests/unproven.rs
+++ b/crates/dispatch/tests/unproven.rs
@@ -1,4 +1,4 @@
-//! Jobs that an entry tells the owner of, past the table's feed.
+//! Jobs that an entry sends to the owner directly, ahead of the table's feed.
 
 mod harness;
 
@@ -6,31 +6,34 @@
 use insta::assert_snapshot;
 use quincewheel_dispatch::Unproven;
 
-// Symptom: a task starts twice, milliseconds apart. Sequence: an owner is cut from the
-// table; another entry claims, and a job is stored after that; the entry that stored it
-// tells the former owner, which still decides. Cause: a job that is told directly says
-// nothing of the claims before it, as the feed does.
+// A task started twice, milliseconds apart. An owner is cut off from the table; another entry
+// claims, and a job is stored after that; the entry that stored it sends it to the former owner,
+// which still decides. Unlike the feed, a job that is sent directly does not show the claims before
+// it.
 #[test]
-fn a_told_job_is_released_only_by_a_later_write_of_this_owner() {
+fn job_sent_directly_is_released_only_by_a_later_write_of_this_owner() {
     let mut unproven = Unproven::default();
     unproven.add("a", 7);
     unproven.add("b", 9);
-    let mut told = Vec::new();
+    let mut released = Vec::new();
     for version in [6, 7, 8, 8, 12] {
-        told.push(format!("write {version}: {:?}", unproven.prove(version)));
+        released.push(format!("write {version}: {:?}", unproven.prove(version)));
     }
     // The write after the claim of another does not succeed.
     unproven.add("c", 13);
     unproven.clear();
-    told.push(format!("after a claim: {:?}, empty {}", unproven.prove(20), unproven.is_empty()));
-    assert_snapshot!(told.join("\n"));
+    released.push(format!(
+        "after a claim: {:?}, empty {}",
+        unproven.prove(20),
+        unproven.is_empty()
+    ));
+    assert_snapshot!(released.join("\n"));
 }
 
-// Symptom: a job starts again after its end. Sequence: its entry's message and the feed
-// both tell it, in either order, or the message comes after its end. Cause: told twice, it
-// would be two jobs.
+// A job started again after its end. The entry's message and the feed both deliver it, in either
+// order, or the message arrives after its end; received twice, it would be two jobs.
 #[test]
-fn a_job_that_is_told_twice_or_late_stays_one() {
+fn job_received_twice_or_late_is_one_job() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.loaded(100);
     let row = job(1, vec![step(1, 1)]);
@@ -44,19 +47,19 @@
     assert_snapshot!(harness.take_orders());
 }
 
-// Load: urgent jobs have a quarter of a second to spare, and the table takes 200 ms for a write. Symptom:
-// each of them waits for a write of the owner that is later than its row. Cause: that no other entry
-// owns was shown by such a write only; it is also sure for a while after each.
+// Load: urgent jobs have a quarter of a second of slack, and the table takes 200 ms for a write.
+// Each of them waited for a write of the owner later than its row, as only such a write showed that
+// no other entry owns; an owner is also certain of that for a while after each write.
 #[test]
-fn an_owner_is_sure_of_itself_for_a_while_after_a_write() {
+fn owner_is_certain_of_its_ownership_for_500_ms_after_a_write() {
     let mut harness = Harness::new(1, 1);
-    let claimed = harness.owner.surely_owns(harness.now);
+    let after_claim = harness.owner.surely_owns(harness.now);
     harness.owner.renew(harness.now);
-    let told: Vec<bool> =
+    let after_write: Vec<bool> =
         [0, 400, 499, 500, 5000].map(|ms| harness.owner.surely_owns(harness.now + ms)).to_vec();
     harness.owner.renew(harness.now - 300);
-    let earlier = harness.owner.surely_owns(harness.now + 300);
-    assert_snapshot!(format!("{claimed} {told:?} {earlier}"), @r"
+    let older_write = harness.owner.surely_owns(harness.now + 300);
+    assert_snapshot!(format!("{after_claim} {after_write:?} {older_write}"), @r"
     false [true, true, true, false, false] true
     ");
 }
--- a/crates/dispatch/tests/unsettled.rs
+++ b/crates/dispatch/tests/unsettled.rs
@@ -1,34 +1,33 @@
-//! What may be said of a submission whose write got no answer.
+//! What an entry may answer about a submission whose write got no answer.
 
 use insta::assert_snapshot;
 use quincewheel_dispatch::Unsettled;
 
-// Symptom: a client is told that its job was not accepted, and the job runs.
-// Sequence: the write gets no answer and takes effect all the same; the client asks
-// again at the same entry, which by then cannot reach the table and refuses.
-// Cause: the entry had forgotten that an earlier write may have taken effect.
+// A client got the answer that its job was not accepted, and the job ran. The write gets no answer
+// but takes effect; the client asks again at the same entry, which by then cannot reach the table
+// and refuses. The entry had forgotten that an earlier write may have taken effect.
 #[test]
-fn a_write_without_an_answer_is_remembered_until_the_row_is_seen() {
+fn write_without_an_answer_is_remembered_until_its_row_is_seen() {
     let mut unsettled = Unsettled::default();
     unsettled.note("a", 1000);
     unsettled.note("b", 2000);
     unsettled.settle("b");
-    let told = [
+    let held = [
         unsettled.holds("a", 1000),
         unsettled.holds("a", 100_000),
         unsettled.holds("a", 121_000),
         unsettled.holds("b", 2000),
         unsettled.holds("c", 2000),
     ];
-    assert_snapshot!(format!("{told:?}"), @"[true, true, false, false, false]");
+    assert_snapshot!(format!("{held:?}"), @"[true, true, false, false, false]");
 }
 
 #[test]
-fn a_flood_of_them_stays_bounded() {
+fn remembered_writes_are_bounded() {
     let mut unsettled = Unsettled::default();
     for number in 0..10_001 {
         unsettled.note(&format!("{number}"), number);
     }
-    let told = [unsettled.holds("0", 10_001), unsettled.holds("1", 10_001)];
-    assert_snapshot!(format!("{told:?}"), @"[false, true]");
+    let held = [unsettled.holds("0", 10_001), unsettled.holds("1", 10_001)];
+    assert_snapshot!(format!("{held:?}"), @"[false, true]");
 }
