--- a/crates/dispatch/tests/blame.rs
+++ b/crates/dispatch/tests/blame.rs
@@ -1,4 +1,4 @@
-//! Workers that fail all that they start, beside tasks that fail by themselves.
+//! Workers that fail whatever they start, and tasks that fail at any worker.
 
 mod harness;
 
@@ -7,30 +7,30 @@
 use quincewheel_job::How;
 use quincewheel_wire::Notice;
 
-/// Ends the run of a job's only task at w0 as failed.
-fn fail(harness: &mut Harness, number: u64, name: &str, run: u64) {
+/// Reports the run of a job's only task at w0 as failed.
+fn report_failure(harness: &mut Harness, number: u64, name: &str, run: u64) {
     harness.report_status(0, &[], &[end(number, task(name, 0, 0), run, How::Failed)]);
 }
 
-fn ping(harness: &mut Harness, agents: u64) {
+/// Sends a ping of each of the first agents.
+fn ping_all(harness: &mut Harness, agents: u64) {
     for number in 0..agents {
         harness.deliver(number, Notice::Ping { stamp: harness.now, silent: 0 });
     }
 }
 
-// Symptom: jobs fail within a second though they could be done. Sequence: a worker fails
-// all that it starts; the pool is full, so the place that a failed task left is the only
-// one; the task starts there again until its attempts are gone. Cause: such a worker was
-// the last choice, and there was no other.
+// Jobs failed within a second though they could be done. A worker fails whatever it starts, and the
+// pool is full, so the place that a failed task left is the only free one; the task starts there
+// again until its attempts are used up. Such a worker was the last choice, but there was no other.
 #[test]
-fn a_task_does_not_return_to_the_worker_at_which_it_failed() {
+fn failed_task_does_not_return_to_the_worker_at_which_it_failed() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     for (number, name) in [(150, "a"), (151, "b")] {
         harness.owner.job(name, job(1, vec![step(1, 8)]), number, None);
         harness.tick();
     }
     harness.take_orders();
-    fail(&mut harness, 1, "a", 1);
+    report_failure(&mut harness, 1, "a", 1);
     let at_once = harness.take_orders();
     harness.report_status(1, &[], &[end(1, task("b", 0, 0), 1, How::Done)]);
     assert_snapshot!(format!("{at_once}\n-- another is free\n{}", harness.take_orders()), @r"
@@ -41,25 +41,25 @@
 }
 
 #[test]
-fn a_worker_at_which_several_jobs_fail_is_closed_for_a_while() {
+fn worker_at_which_several_jobs_fail_is_closed_for_a_while() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    let mut told = Vec::new();
+    let mut orders = Vec::new();
     for (number, name) in [(1, "a"), (2, "b"), (3, "c"), (4, "d")] {
         harness.owner.job(name, job(1, vec![step(1, 8)]), 150 + number, None);
         harness.tick();
-        told.push(format!("{name}: {}", harness.take_orders()));
+        orders.push(format!("{name}: {}", harness.take_orders()));
         if number < 4 {
-            fail(&mut harness, number, name, 1);
+            report_failure(&mut harness, number, name, 1);
             harness.owner.cancel(name, harness.now);
             harness.take_orders();
         }
     }
     for _ in 0..3 {
         harness.advance(1000);
-        ping(&mut harness, 1);
+        ping_all(&mut harness, 1);
     }
-    told.push(format!("after 3 s: {}", harness.take_orders()));
-    assert_snapshot!(told.join("\n"), @r"
+    orders.push(format!("after 3 s: {}", harness.take_orders()));
+    assert_snapshot!(orders.join("\n"), @r"
     a: w0 start a.0.0.0 run 1 
     b: w0 start b.0.0.0 run 1 
     c: w0 start c.0.0.0 run 1 
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_closes_no_worker() {
+fn job_that_fails_repeatedly_closes_no_worker() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    let mut hopeless = job(1, vec![step(1, 8)]);
-    hopeless.queue.attempts = 9;
-    harness.owner.job("a", hopeless, 150, None);
+    let mut failing = job(1, vec![step(1, 8)]);
+    failing.queue.attempts = 9;
+    harness.owner.job("a", failing, 150, None);
     harness.tick();
     for number in 1..=4 {
-        fail(&mut harness, number, "a", number);
+        report_failure(&mut harness, number, "a", number);
     }
     harness.owner.cancel("a", harness.now);
     harness.take_orders();
@@ -85,19 +85,19 @@
     assert_snapshot!(harness.take_orders(), @"w0 start b.0.0.0 run 1");
 }
 
-// Symptom: a task waits for ever. Sequence: it failed at the only worker that has the
-// label it needs. Cause: it never returned there.
+// A task waited for ever: it had failed at the only worker with the label that it needs, and never
+// returned there.
 #[test]
-fn a_task_returns_after_a_while_where_no_other_worker_may_run_it() {
+fn failed_task_returns_after_a_while_where_no_other_worker_may_run_it() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.take_orders();
-    fail(&mut harness, 1, "a", 1);
+    report_failure(&mut harness, 1, "a", 1);
     let at_once = harness.take_orders();
     for _ in 0..3 {
         harness.advance(1000);
-        ping(&mut harness, 1);
+        ping_all(&mut harness, 1);
     }
     assert_snapshot!(format!("{at_once}\n-- 3 s\n{}", harness.take_orders()), @r"
     nothing
--- a/crates/dispatch/tests/capacity.rs
+++ b/crates/dispatch/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Workers whose capacity changes, or is taken by what nobody waits for.
+//! Workers whose capacity changes, or is used by runs that no job waits for.
 
 mod harness;
 
@@ -7,42 +7,43 @@
 use quincewheel_job::{Need, Run, Worker};
 use quincewheel_wire::Notice;
 
-/// A worker reports so many accelerators.
-fn status(harness: &mut Harness, accelerators: u64, running: &[Run]) {
+/// Sends a status of the worker with this number of accelerators.
+fn report_accelerators(harness: &mut Harness, accelerators: u64, running: &[Run]) {
     let capacity = Need { accelerators, ..worker(0).capacity };
     let worker = Some(Worker { capacity, ..worker(0) });
     let (stamp, running, ended) = (harness.now, running.to_vec(), Vec::new());
     harness.deliver(0, Notice::Status { stamp, worker, fenced: true, running, ended });
 }
 
-// Symptom: work waits beside a worker that has room again. Sequence: its capacity has shrunk and
-// grows again; nothing else happens. Cause: only ends and new workers began a round of decisions.
+// Work waited beside a worker that had capacity again: its capacity shrinks and grows, and nothing
+// else happens. Only ends and new workers caused a round of decisions.
 #[test]
-fn room_that_grows_again_is_used_at_once() {
+fn capacity_that_grows_again_is_used_at_once() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    status(&mut harness, 2, &[]);
+    report_accelerators(&mut harness, 2, &[]);
     harness.owner.job("a", job(1, vec![step(1, 4)]), 150, None);
     harness.tick();
     let shrunk = harness.take_orders();
-    status(&mut harness, 8, &[]);
+    report_accelerators(&mut harness, 8, &[]);
     assert_snapshot!(format!("{shrunk}\n{}", harness.take_orders()), @r"
     nothing
     w0 start a.0.0.0 run 1
     ");
 }
 
-// What runs may be more than the capacity is now; nothing is added until enough has ended.
+// The runs of a worker may need more than its capacity is now; nothing is added until enough of
+// them have ended.
 #[test]
-fn nothing_starts_at_a_worker_that_has_shrunk_below_what_runs_there() {
+fn nothing_starts_at_a_worker_that_has_shrunk_below_its_runs() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.job("a", job(1, vec![step(2, 3)]), 150, None);
     harness.tick();
     let runs = [run(task("a", 0, 0), 1), run(task("a", 0, 1), 1)];
     harness.take_orders();
-    status(&mut harness, 4, &runs);
+    report_accelerators(&mut harness, 4, &runs);
     harness.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
     harness.tick();
-    let over = harness.take_orders();
+    let before_end = harness.take_orders();
     let ended = [harness::end(1, task("a", 0, 0), 1, quincewheel_job::How::Done)];
     let (stamp, worker) = (
         harness.now,
@@ -50,18 +51,18 @@
     );
     let (running, ended) = (runs[1..].to_vec(), ended.to_vec());
     harness.deliver(0, Notice::Status { stamp, worker, fenced: true, running, ended });
-    assert_snapshot!(format!("{over}\n{}", harness.take_orders()), @r"
+    assert_snapshot!(format!("{before_end}\n{}", harness.take_orders()), @r"
     nothing
     w0 start b.0.0.0 run 1
     ");
 }
 
-// Symptom: a worker that does not check for itself is given more than it has. Sequence: it lists
-// a run that nobody waits for any more (its job has ended, or a later run exists elsewhere), which
-// is stopped; before the stop is through, its room is given away. Cause: only runs that are waited
-// for were counted.
+// A worker that does not check its capacity got more work than it can hold. It lists an orphaned
+// run (its job has ended, or a later run of the task exists elsewhere), which is stopped; before
+// the stop has taken effect its capacity was given away, since only runs that a job waits for were
+// counted.
 #[test]
-fn room_of_a_run_that_nobody_waits_for_is_free_only_when_it_is_gone() {
+fn capacity_of_an_orphaned_run_is_free_only_once_the_run_is_gone() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.report_status(0, &[run(task("unknown", 0, 0), 7)], &[]);
     harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
--- a/crates/dispatch/tests/refusals.rs
+++ b/crates/dispatch/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Workers that refuse starts: one and then not the next, or again and again.
+//! Workers that refuse starts: one and not the next, or each of them.
 
 mod harness;
 
@@ -7,15 +7,13 @@
 use quincewheel_job::Run;
 use quincewheel_wire::{Notice, Refused};
 
-// Symptom: a job stands still beside an open worker with room until something else changes,
-// here for as long as the other job runs. Sequence: two starts are ordered at a worker; it
-// refuses the first (unhealthy for a moment, or room that is still being freed) and carries
-// out the second, whose answer comes a moment after the decision that followed the refusal.
-// Cause: a start that takes effect forgets the refusals and with them the time at which the
-// owner would look again (`Owner::started` sets `refusals` to nothing and does not set
-// `replan`; `ask_refusers` only looks at agents with `until > 0`).
+// A job stood still beside an open worker with capacity until something else changed, here for as
+// long as the other job ran. Two starts are ordered at a worker; it refuses the first (unhealthy
+// for a moment, or with capacity still being freed) and carries out the second, whose answer comes
+// just after the decision that followed the refusal. A confirmed start cleared the refusals, and
+// with them the time of the next attempt, without a new round of decisions.
 #[test]
-fn a_start_that_takes_effect_opens_a_worker_that_refused_another() {
+fn confirmed_start_reopens_a_worker_that_refused_another() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
@@ -32,9 +30,8 @@
     assert_snapshot!(harness.take_orders().trim_end(), @"w0 start a.0.0.0 run 2");
 }
 
-/// Refuses each start at `w0` for so many milliseconds, in steps of 10, and returns when
-/// they were ordered.
-fn refuse(harness: &mut Harness, ms: u64) -> Vec<u64> {
+/// Refuses each start at `w0` for `ms`, in steps of 10 ms, and returns when starts were ordered.
+fn refuse_starts(harness: &mut Harness, ms: u64) -> Vec<u64> {
     let begin = harness.now;
     let mut starts = Vec::new();
     for _ in 0..ms / 10 {
@@ -51,14 +48,14 @@
     starts
 }
 
-// Symptom: hundreds of starts a second at one worker, each refused. Sequence: the worker has
-// less room than the owner believes, since a run that it was told is gone goes on there; no
-// other worker suits the task. Cause: a refusal only made the worker the last choice, and the
-// only one is the last as well.
+// Hundreds of starts a second were sent to one worker, and each was refused. The worker has less
+// capacity than the owner assumes, since a run that was reported as ended goes on there, and no
+// other worker suits the task. A refusal only made the worker the last choice, and the only worker
+// is the last choice as well.
 #[test]
-fn a_worker_that_refuses_a_start_is_left_alone_for_a_while() {
+fn worker_that_refuses_a_start_is_retried_with_backoff() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
-    assert_snapshot!(format!("{:?}", refuse(&mut harness, 5000)), @"[0, 50, 150, 350, 750, 1550, 3150, 4750]");
+    assert_snapshot!(format!("{:?}", refuse_starts(&mut harness, 5000)), @"[0, 50, 150, 350, 750, 1550, 3150, 4750]");
 }
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under the id that they had, as the owner sees them.
+//! Workers that restart under the same id, as the owner sees them.
 
 mod harness;
 
@@ -7,40 +7,39 @@
 use quincewheel_job::{Advice, End, How, Run, Worker};
 use quincewheel_wire::Notice;
 
-/// The first worker reports, as the start of it at `born`.
-fn report(harness: &mut Harness, born: u64, running: &[Run], ended: &[End]) {
+/// The first worker reports, as the incarnation that started at `born`.
+fn report_incarnation(harness: &mut Harness, born: u64, running: &[Run], ended: &[End]) {
     let worker = Some(Worker { born, ..harness::worker(0) });
     let (running, ended) = (running.to_vec(), ended.to_vec());
     harness.deliver(0, Notice::Status { stamp: harness.now, worker, fenced: true, running, ended });
 }
 
-/// A worker of which an end is recorded, and which has started again since then.
-fn started_again() -> Harness {
+/// Creates an owner with a worker that has restarted since an end of a run at it was recorded.
+fn restarted_after_a_recorded_end() -> Harness {
     let mut harness = Harness::new(1, 1);
     harness.connect(0);
-    report(&mut harness, 1, &[], &[]);
+    report_incarnation(&mut harness, 1, &[], &[]);
     harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
-    report(&mut harness, 1, &[], &[end(1, task("a", 0, 0), 1, How::Done)]);
+    report_incarnation(&mut harness, 1, &[], &[end(1, task("a", 0, 0), 1, How::Done)]);
     harness.record();
-    report(&mut harness, 2, &[], &[]);
+    report_incarnation(&mut harness, 2, &[], &[]);
     harness.take_orders();
     harness
 }
 
-// Symptom: a job whose gang broke waits without end for `remains of a former start`, and others
-// for room that those remains hold. Sequence: a worker whose first end is recorded starts again
-// under its id; a member of the gang ends there, as its first. Cause: the owner takes the number
-// for one that it has recorded, and the run for one that goes on. Proof: on the recorded day
-// members had ended as broken at two workers that had started again, and five steps waited for
-// remains to the end.
+// A job whose gang broke waited without end for `remains of a former start`, and others for the
+// capacity that those held. A worker whose first end is recorded restarts under its id, and a
+// member of the gang ends there, as its first end again. The owner took the number for one that it
+// had recorded, and the run for one that goes on. When this was recorded, members had ended as
+// broken at two restarted workers, and five steps waited to the end.
 #[test]
-fn an_end_of_a_worker_that_started_again_counts() {
-    let mut harness = started_again();
+fn end_numbered_from_one_after_a_restart_counts() {
+    let mut harness = restarted_after_a_recorded_end();
     harness.owner.job("b", job(1, vec![step(1, 8)]), 160, None);
     harness.tick();
-    report(&mut harness, 2, &[run(task("b", 0, 0), 1)], &[]);
-    report(&mut harness, 2, &[], &[end(1, task("b", 0, 0), 1, How::Broken)]);
+    report_incarnation(&mut harness, 2, &[run(task("b", 0, 0), 1)], &[]);
+    report_incarnation(&mut harness, 2, &[], &[end(1, task("b", 0, 0), 1, How::Broken)]);
     harness.record();
     assert_snapshot!(harness.take_orders(), @r"
     w0 start b.0.0.0 run 1 
@@ -49,15 +48,15 @@
     ");
 }
 
-// A call names a worker by its id only, so that a start for the former incarnation may be carried
-// out by the next one: the task would run twice if it started elsewhere at once.
+// A call names a worker by its id only, so the next incarnation may carry out a start that was sent
+// to the former one: the task would run twice if it started elsewhere at once.
 #[test]
-fn a_start_that_a_former_incarnation_never_listed_is_stopped_before_it_starts_elsewhere() {
+fn start_that_a_former_incarnation_never_listed_is_stopped_before_it_starts_elsewhere() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     let ordered = harness.take_orders();
-    report(&mut harness, 2, &[], &[]);
+    report_incarnation(&mut harness, 2, &[], &[]);
     let restarted = harness.take_orders();
     harness.deliver(0, Notice::Stopped { task: task("a", 0, 0), run: 1 });
     harness.tick();
@@ -70,23 +69,23 @@
     ");
 }
 
-// What the former incarnation had listed is certainly gone with it.
+// A run that the former incarnation had listed has certainly ended with it.
 #[test]
-fn a_run_that_a_former_incarnation_listed_starts_elsewhere_at_once() {
+fn run_that_a_former_incarnation_listed_starts_again_at_once() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     harness.take_orders();
-    report(&mut harness, 2, &[], &[]);
+    report_incarnation(&mut harness, 2, &[], &[]);
     assert_snapshot!(harness.take_orders(), @"w0 start a.0.0.0 run 2");
 }
 
-// Symptom: a sound task is suspected of crashing workers. Sequence: an agent's machine starts again, and
-// its clock anew; the task runs on. Cause: how long it had been listed was reckoned from a time by
-// the former clock, which is not over for as long as the machine had been up.
+// A sound task was suspected of crashing workers: an agent's machine restarts, and its clock begins
+// again, while the task runs on. The time for which it had been listed was counted from a stamp of
+// the former clock, which the new one does not reach for as long as the machine had been up.
 #[test]
-fn a_task_outlives_its_start_though_its_agents_clock_began_anew() {
+fn task_outlives_its_start_though_its_agents_clock_restarted() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
@@ -98,26 +97,26 @@
     }
     let starts = vec![(task("a", 0, 0), 1), (task("other", 0, 0), 1)];
     harness.deliver(0, Notice::Broke { worker: "i0".into(), starts });
-    report(&mut harness, 2, &[], &[]);
+    report_incarnation(&mut harness, 2, &[], &[]);
     assert_snapshot!(harness.take_logs(), @"nothing");
 }
 
-// A ticket ends with the incarnation that it was given for; a worker that starts again may be of
+// A ticket is valid for the incarnation that it was issued for: a worker that restarts may be of
 // another kind, and refuses the old one.
 #[test]
-fn a_worker_that_started_again_needs_another_ticket() {
+fn restarted_worker_needs_another_ticket() {
     let mut harness = Harness::new(1, 1);
     harness.connect(0);
-    report(&mut harness, 1, &[], &[]);
+    report_incarnation(&mut harness, 1, &[], &[]);
     let mut cleared = job(1, vec![step(1, 8)]);
     cleared.queue.advice = Some(Advice { decide: 100, each: 10, ..Advice::default() });
     harness.owner.job("a", cleared, 150, None);
     harness.tick();
     let question = harness.advice_requests.remove(0);
-    report(&mut harness, 2, &[], &[]);
+    report_incarnation(&mut harness, 2, &[], &[]);
     harness.take_orders();
-    let good = [("i0".to_owned(), "ticket".to_owned())];
-    harness.owner.advised(&question, Some((&good, 60_000)), harness.now, harness.now);
+    let tickets = [("i0".to_owned(), "ticket".to_owned())];
+    harness.owner.advised(&question, Some((&tickets, 60_000)), harness.now, harness.now);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @"ask i0 born 2");
 }
--- a/crates/dispatch/tests/unlisted_runs.rs
+++ b/crates/dispatch/tests/unlisted_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that are believed at workers that do not list them.
+//! Runs that the owner assumes at workers that do not list them.
 
 mod harness;
 
@@ -6,13 +6,13 @@
 use insta::assert_snapshot;
 use quincewheel_wire::Notice;
 
-// Symptom: jobs stand still to the end of the day, with most of the workers' room free. Sequence:
-// a worker lists a run, and then neither the run nor an end of it; it is idle from there on.
-// Cause: what a worker does not list is looked for only when a report of it comes, and the agent
-// of an idle worker has nothing to report. Proof: on the recorded day the same five steps waited
-// for remains of a former start at each look, and workers that the owner took for full were idle.
+// Jobs stood still to the end of the day with most of the workers' capacity free: the same five
+// steps waited for remains of a former start throughout, and workers that the owner considered full
+// were idle. A worker lists a run, and then neither the run nor an end of it; it is idle from then
+// on. Unlisted runs were searched for only when a report of the worker came, and the agent of an
+// idle worker has nothing to report.
 #[test]
-fn a_run_that_an_idle_worker_does_not_list_is_stopped_and_starts_again() {
+fn run_that_an_idle_worker_does_not_list_is_stopped_and_starts_again() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
--- a/crates/dispatch/tests/unready_workers.rs
+++ b/crates/dispatch/tests/unready_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that broke a connection a moment ago, or that have just started, as urgent work sees them.
+//! Workers that have just broken a connection or have just started, as urgent work sees them.
 
 mod harness;
 
@@ -7,11 +7,11 @@
 use quincewheel_job::{Step, Worker};
 use quincewheel_wire::Notice;
 
-// Load: urgent gangs come while workers go down and up by turns. Symptom: each gang has a member at a
-// worker whose connections have just broken, waits for it for seconds, and begins anew elsewhere. Cause:
-// a worker was taken for silent only after 3 s.
+// Load: urgent gangs come while workers go down and up in turn. Each gang had a member at a worker
+// whose connections had just broken, waited for it for seconds, and started again elsewhere, as a
+// worker was considered silent only after 3 s.
 #[test]
-fn a_worker_that_broke_its_connections_takes_nothing_until_it_answers() {
+fn worker_that_broke_its_connections_gets_nothing_until_it_answers() {
     let mut harness = Harness::new(1, 3).with_idle_workers(3);
     let worker = harness::worker(0).incarnation();
     harness.deliver(0, Notice::Broke { worker, starts: Vec::new() });
@@ -29,22 +29,22 @@
     ");
 }
 
-// Load: a zone is taken back with all its workers cold. Symptom: urgent work starts at workers that are
-// slow, beside others that are not.
+// Load: the evacuation of a zone ends with all its workers cold. Urgent work started at workers
+// that were slow, beside others that were not.
 #[test]
-fn a_worker_that_is_slow_after_its_start_is_the_last_choice() {
+fn cold_worker_is_the_last_choice() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let cold = |cold| Worker { cold, ..harness::worker(0) };
-    let report = |harness: &mut Harness, worker| {
+    let report_worker = |harness: &mut Harness, worker| {
         let (stamp, running, ended) = (harness.now, Vec::new(), Vec::new());
         let worker = Some(worker);
         harness.deliver(0, Notice::Status { stamp, worker, fenced: true, running, ended });
     };
-    report(&mut harness, cold(800));
+    report_worker(&mut harness, cold(800));
     harness.owner.job("cold", job(0, vec![step(1, 1)]), 150, None);
     harness.tick();
     harness.advance(500);
-    report(&mut harness, cold(800));
+    report_worker(&mut harness, cold(800));
     harness.advance(400);
     harness.owner.job("warm", job(0, vec![step(1, 8)]), 151, None);
     harness.tick();
