--- a/crates/dispatch/tests/advice.rs
+++ b/crates/dispatch/tests/advice.rs
@@ -1,4 +1,4 @@
-//! Queues whose steps must be cleared for workers by a service outside the system.
+//! Queues whose steps a service outside the system must clear for workers.
 
 mod harness;
 
@@ -7,29 +7,29 @@
 use quincewheel_job::{Advice, Job, Step};
 use quincewheel_wire::{Notice, Refused};
 
-fn cleared(steps: Vec<Step>) -> Job {
+fn job_needing_clearance(steps: Vec<Step>) -> Job {
     let mut job = job(1, steps);
     job.queue.advice = Some(Advice { decide: 100, each: 10, valid: 5000 });
     job
 }
 
-/// Answers the oldest question: these workers may run the step.
-fn answer(harness: &mut Harness, good: &[&str]) {
+/// Answers the oldest request: these workers may run the step.
+fn answer_oldest(harness: &mut Harness, cleared_workers: &[&str]) {
     let question = harness.advice_requests.remove(0);
     let ticket = |worker: &&str| ((*worker).to_owned(), format!("ticket-{worker}"));
-    let tickets: Vec<(String, String)> = good.iter().map(ticket).collect();
+    let tickets: Vec<(String, String)> = cleared_workers.iter().map(ticket).collect();
     harness.owner.advised(&question, Some((&tickets, 5000)), harness.now, harness.now);
     harness.tick();
 }
 
 #[test]
-fn a_step_starts_only_where_it_is_cleared() {
+fn step_starts_only_at_workers_it_is_cleared_for() {
     let mut harness = Harness::new(1, 3).with_idle_workers(3);
-    harness.owner.job("a", cleared(vec![step(2, 8)]), 150, None);
+    harness.owner.job("a", job_needing_clearance(vec![step(2, 8)]), 150, None);
     harness.tick();
-    let asked = harness.take_orders();
-    answer(&mut harness, &["i2"]);
-    assert_snapshot!(format!("{asked}\n-- one may\n{}", harness.take_orders()), @r"
+    let requested = harness.take_orders();
+    answer_oldest(&mut harness, &["i2"]);
+    assert_snapshot!(format!("{requested}\n-- one may\n{}", harness.take_orders()), @r"
     ask i0 i1 i2
     -- one may
     w2 start a.0.0.0 run 1 with ticket-i2
@@ -37,17 +37,17 @@
 }
 
 #[test]
-fn what_is_known_of_a_step_is_not_asked_again_until_its_ticket_runs_out() {
+fn clearance_is_requested_again_only_when_its_ticket_expires() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
+    harness.owner.job("a", job_needing_clearance(vec![step(1, 8)]), 150, None);
     harness.tick();
-    answer(&mut harness, &["i1"]);
+    answer_oldest(&mut harness, &["i1"]);
     harness.report_status(
         1,
         &[],
         &[harness::end(1, task("a", 0, 0), 1, quincewheel_job::How::Stopped)],
     );
-    let again = harness.take_orders();
+    let restarted = harness.take_orders();
     for _ in 0..5 {
         harness.advance(1000);
         for number in 0..2 {
@@ -59,7 +59,7 @@
         &[],
         &[harness::end(2, task("a", 0, 0), 2, quincewheel_job::How::Stopped)],
     );
-    assert_snapshot!(format!("{again}\n-- after 5 s\n{}", harness.take_orders()), @r"
+    assert_snapshot!(format!("{restarted}\n-- after 5 s\n{}", harness.take_orders()), @r"
     ask i0 i1
     w1 start a.0.0.0 run 1 with ticket-i1
     w1 start a.0.0.0 run 2 with ticket-i1
@@ -68,25 +68,25 @@
     ");
 }
 
-// Symptom: a task that must be cleared is never started again. Sequence: its worker
-// refuses the ticket. Cause: the ticket was used again and again.
+// A task that needs clearance was never started again: its worker refuses the ticket, and the same
+// ticket was used again and again.
 #[test]
-fn a_ticket_that_was_refused_is_asked_for_anew() {
+fn refused_ticket_is_requested_again() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
+    harness.owner.job("a", job_needing_clearance(vec![step(1, 8)]), 150, None);
     harness.tick();
-    answer(&mut harness, &["i0"]);
+    answer_oldest(&mut harness, &["i0"]);
     harness.take_orders();
     harness.deliver(0, Notice::Unstarted { task: task("a", 0, 0), run: 1, why: Refused::Ticket });
     assert_snapshot!(harness.take_orders(), @"ask i0");
 }
 
-// Symptom: nothing on such queues starts any more. Sequence: one call to the service
-// gets no answer. Cause: the owner went on waiting for it.
+// Nothing on such queues started any more: one call to the service gets no answer, and the owner
+// went on waiting for it.
 #[test]
-fn a_question_without_an_answer_is_asked_again() {
+fn clearance_request_without_an_answer_is_repeated() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
+    harness.owner.job("a", job_needing_clearance(vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.take_orders();
     let question = harness.advice_requests.remove(0);
--- a/crates/dispatch/tests/stalled_runs.rs
+++ b/crates/dispatch/tests/stalled_runs.rs
@@ -1,4 +1,4 @@
-//! Workers that report themselves well while their runs stand still.
+//! Workers that report themselves healthy while their runs make no progress.
 
 mod harness;
 
@@ -6,8 +6,9 @@
 use insta::assert_snapshot;
 use quincewheel_job::{Run, Step};
 
-/// A run of a task of 4 s on the first of two workers, listed each second.
-fn play(percents: &[u32]) -> String {
+/// Returns the orders for a task estimated at 4 s on the first of two workers, listed each second
+/// with the next of these percents.
+fn orders_for_progress(percents: &[u32]) -> String {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let long = Step { estimate: 4000, ..step(1, 8) };
     harness.owner.job("a", job(1, vec![long]), 150, None);
@@ -22,42 +23,41 @@
 }
 
 #[test]
-fn a_run_that_goes_on_is_left_alone_even_where_its_estimate_was_half() {
-    assert_snapshot!(play(&[12, 25, 37, 50, 62, 75, 87]), @r"nothing");
+fn run_that_takes_twice_its_estimate_is_not_stopped() {
+    assert_snapshot!(orders_for_progress(&[12, 25, 37, 50, 62, 75, 87]), @r"nothing");
 }
 
-// Symptom: a job never ends though its worker reports itself well.
-// Sequence: the tasks on a worker stand still. Cause: nobody looked at progress.
+// A job never ended though its worker reported itself healthy: the tasks at a worker stand still,
+// and progress was not checked.
 #[test]
-fn a_run_that_stands_still_is_stopped() {
-    assert_snapshot!(play(&[12, 25, 25, 25, 25]), @r"w0 stop a.0.0.0 run 1");
+fn run_without_progress_is_stopped() {
+    assert_snapshot!(orders_for_progress(&[12, 25, 25, 25, 25]), @r"w0 stop a.0.0.0 run 1");
 }
 
 #[test]
-fn a_run_that_never_begins_is_stopped() {
-    assert_snapshot!(play(&[0, 0, 0]), @r"w0 stop a.0.0.0 run 1");
+fn run_that_never_makes_progress_is_stopped() {
+    assert_snapshot!(orders_for_progress(&[0, 0, 0]), @r"w0 stop a.0.0.0 run 1");
 }
 
-// Symptom: most of the work of a quiet day is thrown away. Sequence: a task takes
-// several times its estimate, is stopped as slow, and starts anew. Cause: an
-// estimate was taken for more than a guess.
+// Most of the work of a quiet day was thrown away: a task takes several times its estimate, is
+// stopped as slow, and starts again. An estimate is no more than a guess.
 #[test]
-fn a_run_that_takes_long_is_left_alone() {
-    assert_snapshot!(play(&[2, 5, 8, 11]), @r"nothing");
+fn run_that_takes_several_times_its_estimate_is_not_stopped() {
+    assert_snapshot!(orders_for_progress(&[2, 5, 8, 11]), @r"nothing");
 }
 
-// Symptom: gangs are stopped shortly before their end. Sequence: one member is
-// through and waits for a slower one. Cause: its standstill was taken for trouble.
+// Gangs were stopped shortly before their end: one member is finished and waits for a slower one,
+// and its standstill was considered a fault.
 #[test]
-fn a_member_that_waits_for_its_gang_is_left_alone() {
+fn member_that_waits_for_its_gang_is_not_stopped() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let gang = Step { estimate: 4000, gang: true, ..step(2, 8) };
     harness.owner.job("a", job(1, vec![gang]), 150, None);
     harness.tick();
     harness.take_orders();
-    for slow in [20, 30, 40, 50, 60, 70] {
+    for slow_percent in [20, 30, 40, 50, 60, 70] {
         harness.advance(1000);
-        for (number, percent) in [(0, 100), (1, slow)] {
+        for (number, percent) in [(0, 100), (1, slow_percent)] {
             let listed = run(task("a", 0, number), 1);
             harness.report_status(u64::from(number), &[Run { percent, ..listed }], &[]);
         }
--- a/crates/dispatch/tests/throttle.rs
+++ b/crates/dispatch/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Tasks that serve, and tasks that fill what those leave idle.
+//! Tasks that serve requests, and tasks that fill the capacity those leave idle.
 
 mod harness;
 
@@ -6,12 +6,12 @@
 use insta::assert_snapshot;
 use quincewheel_job::{Run, Step};
 
-fn listed(name: &str, gauge: u64) -> Run {
+fn run_with_gauge(name: &str, gauge: u64) -> Run {
     Run { percent: 100, gauge, ..harness::run(task(name, 0, 0), 1) }
 }
 
-/// One worker with a task that serves, within 100 ms, and one that fills.
-fn shared() -> Harness {
+/// Creates an owner whose one worker has a serving task with a target of 100 ms and a filling task.
+fn serving_and_filling() -> Harness {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let serves = Step { perpetual: true, target: 100, ..step(1, 1) };
     let fills = Step { fills: true, estimate: 60_000, ..step(1, 1) };
@@ -22,18 +22,22 @@
     harness
 }
 
-// Symptom: a task that serves is over its target for seconds. Cause: nobody looked at
-// what its neighbours do to it.
+// A serving task was over its target for seconds, as the effect of its neighbours on it was not
+// checked.
 #[test]
-fn neighbours_slow_down_as_a_task_that_serves_nears_its_target_and_speed_up_again() {
-    let mut harness = shared();
-    let mut told = Vec::new();
+fn filling_tasks_are_throttled_as_a_serving_task_nears_its_target() {
+    let mut harness = serving_and_filling();
+    let mut orders = Vec::new();
     for gauge in [40, 85, 70, 130, 130, 50, 40] {
         harness.advance(1000);
-        harness.report_status(0, &[listed("serves", gauge), listed("fills", 1000)], &[]);
-        told.push(format!("{gauge} ms: {}", harness.take_orders()));
+        harness.report_status(
+            0,
+            &[run_with_gauge("serves", gauge), run_with_gauge("fills", 1000)],
+            &[],
+        );
+        orders.push(format!("{gauge} ms: {}", harness.take_orders()));
     }
-    assert_snapshot!(told.join("\n"), @r"
+    assert_snapshot!(orders.join("\n"), @r"
     40 ms: nothing
     85 ms: w0 pace fills.0.0.0 50
     70 ms: nothing
@@ -44,32 +48,32 @@
     ");
 }
 
-// Symptom: too many tasks of a step that lasts are away at once. Sequence: two urgent
-// jobs come; each stops tasks of the step. Cause: only lost work was weighed.
+// Too many tasks of a perpetual step were missing at once: two urgent jobs come, and each preempts
+// tasks of the step. Only the lost work was weighed.
 #[test]
-fn no_more_tasks_of_a_step_that_lasts_are_taken_away_than_may_be_missing() {
+fn no_more_tasks_of_a_perpetual_step_are_preempted_than_may_be_missing() {
     let mut harness = Harness::new(1, 3).with_idle_workers(3);
-    let lasts = Step { perpetual: true, may_miss: 1, ..step(3, 8) };
-    harness.owner.job("lasts", job(1, vec![lasts]), 150, None);
+    let perpetual = Step { perpetual: true, may_miss: 1, ..step(3, 8) };
+    harness.owner.job("lasts", job(1, vec![perpetual]), 150, None);
     harness.tick();
-    let at_work = |index| Run { percent: 100, ..harness::run(task("lasts", 0, index), 1) };
+    let serving = |index| Run { percent: 100, ..harness::run(task("lasts", 0, index), 1) };
     for number in 0..3u32 {
-        harness.report_status(u64::from(number), &[at_work(number)], &[]);
+        harness.report_status(u64::from(number), &[serving(number)], &[]);
     }
     harness.take_orders();
-    let urgent = |now| {
+    let urgent_job = |now| {
         let mut job = job(0, vec![step(1, 8)]);
         job.queue.stretch = 1.5;
         job.queue.slack = 2500;
         quincewheel_job::Job { accepted: now, ..job }
     };
-    let mut told = Vec::new();
+    let mut orders = Vec::new();
     for (number, name) in [(200, "u"), (201, "v")] {
-        harness.owner.job(name, urgent(harness.now), number, None);
+        harness.owner.job(name, urgent_job(harness.now), number, None);
         harness.tick();
-        told.push(format!("{name}: {}", harness.take_orders()));
+        orders.push(format!("{name}: {}", harness.take_orders()));
     }
-    assert_snapshot!(told.join("\n"), @r"
+    assert_snapshot!(orders.join("\n"), @r"
     u: w0 stop lasts.0.0.0 run 1
     v: nothing
     ");
