--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -2,7 +2,7 @@
 use quincewheel_policy::Blame;
 use quincewheel_wire::LinkId;
 
-use crate::lack::Lack;
+use crate::close_reason::CloseReason;
 use crate::refusals::Refusals;
 use crate::settings::Settings;
 use crate::suspects::Crash;
@@ -122,6 +122,6 @@
 
     /// True if runs may start there.
     pub fn open(&self, settings: &Settings, now: u64) -> bool {
-        Lack::of(self, settings, now).is_none()
+        CloseReason::of(self, settings, now).is_none()
     }
 }
--- a/crates/dispatch/src/awaited.rs
+++ b/crates/dispatch/src/awaited.rs
@@ -1,9 +1,9 @@
 //! The members that a new owner waits for.
 
+use crate::close_reason::CloseReason;
 use crate::detail::list;
-use crate::lack::Lack;
 use crate::owner::Owner;
-use crate::waits::BOUND;
+use crate::waits::MIN_LOGGED_WAIT_MS;
 
 /// Time between two lines about them, in milliseconds.
 const PAUSE: u64 = 1000;
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Awaited {
     /// The members, and what each lacks.
-    told: Vec<(String, Lack)>,
+    told: Vec<(String, CloseReason)>,
     /// No look before this time.
     next: u64,
 }
@@ -24,7 +24,7 @@
     /// Tells whom older jobs wait for, and why, once for all of them.
     pub(crate) fn tell_unsettled(&mut self, now: u64, wall: u64) {
         let waited = now - self.claimed;
-        if self.settled || waited < BOUND || now < self.awaited.next {
+        if self.settled || waited < MIN_LOGGED_WAIT_MS || now < self.awaited.next {
             return;
         }
         let members = self.members(now);
@@ -44,10 +44,11 @@
     }
 
     /// The members that may run what a former owner started, and what each lacks.
-    fn members(&self, now: u64) -> Vec<(String, Lack)> {
+    fn members(&self, now: u64) -> Vec<(String, CloseReason)> {
         let (last, lease) = self.former_grants();
         let agents = self.agents.iter().filter(|(_, agent)| !agent.clear(last, lease, now));
-        let lack = |agent| Lack::of(agent, &self.settings, self.now).unwrap_or(Lack::Answer);
+        let lack =
+            |agent| CloseReason::of(agent, &self.settings, self.now).unwrap_or(CloseReason::Answer);
         agents.map(|(name, agent)| (name.clone(), lack(agent))).collect()
     }
 }
--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -5,10 +5,10 @@
 use quincewheel_job::{Incarnation, Task};
 use quincewheel_policy::{AVOIDED, bound_avoided, most_closed};
 
-use crate::board::Board;
 use crate::candidate::Candidate;
 use crate::owner::Owner;
 use crate::reports::key;
+use crate::snapshot::Snapshot;
 
 impl Owner {
     /// Takes note of a failure at an agent's worker.
@@ -51,7 +51,12 @@
     }
 
     /// The places of workers at which tasks of the candidate have failed.
-    pub(crate) fn avoided(&self, candidate: &Candidate, board: &Board, now: u64) -> Vec<usize> {
+    pub(crate) fn avoided(
+        &self,
+        candidate: &Candidate,
+        snapshot: &Snapshot,
+        now: u64,
+    ) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
         if entry.avoided.is_empty() {
             return Vec::new();
@@ -63,9 +68,9 @@
         let avoided = slots.filter_map(|slot| entry.avoided.get(&slot)).flatten();
         let workers: BTreeSet<&Incarnation> =
             avoided.filter(|(_, until)| now < **until).map(|(worker, _)| worker).collect();
-        let places = board.spots.iter().enumerate();
+        let places = snapshot.spots.iter().enumerate();
         let avoided: Vec<usize> =
             places.filter(|(_, spot)| workers.contains(&spot.worker)).map(|(at, _)| at).collect();
-        bound_avoided(avoided, board.spots.len())
+        bound_avoided(avoided, snapshot.spots.len())
     }
 }
--- a/crates/dispatch/src/detail.rs
+++ b/crates/dispatch/src/detail.rs
@@ -2,10 +2,10 @@
 
 use quincewheel_job::{Incarnation, Worker};
 
+use crate::cause::Cause;
+use crate::close_reason::CloseReason;
 use crate::entry::Entry;
-use crate::lack::Lack;
 use crate::owner::Owner;
-use crate::wait::Cause;
 use crate::waits::{Group, Wait};
 
 /// Most names in one line.
@@ -47,7 +47,9 @@
         let agents =
             self.agents.iter().filter(|(_, agent)| agent.worker.as_ref().is_some_and(allowed));
         agents
-            .filter_map(|(name, agent)| Some((name, Lack::of(agent, &self.settings, self.now)?)))
+            .filter_map(|(name, agent)| {
+                Some((name, CloseReason::of(agent, &self.settings, self.now)?))
+            })
             .map(|(name, lack)| format!("{name} {}", lack.name()))
             .collect()
     }
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -20,7 +20,7 @@
     /// How far it is.
     pub progress: Progress,
     /// Runs that may exist, by task.
-    pub runs: BTreeMap<Key, Placed>,
+    pub runs: BTreeMap<Key, Placement>,
     /// Since when nothing of it has run; none while something does.
     pub idle: Option<u64>,
     /// The newest checkpoint of each task, or of a gang under index 0.
@@ -56,7 +56,7 @@
 
 /// A run that may exist.
 #[derive(Clone, Debug)]
-pub(crate) struct Placed {
+pub(crate) struct Placement {
     /// The agent of its worker.
     pub agent: String,
     /// Which incarnation of the worker.
@@ -89,7 +89,7 @@
     pub yields_to: Option<Id>,
 }
 
-impl Placed {
+impl Placement {
     /// How long its start took to be confirmed and how long it ran from there, for the
     /// log, and whom it gave way to; nothing if it never was.
     pub fn spent(&self, now: u64) -> String {
@@ -166,7 +166,7 @@
     }
 
     /// When any run that stops together with this one last got further.
-    pub fn unit_moved(&self, placed: &Placed) -> u64 {
+    pub fn unit_moved(&self, placed: &Placement) -> u64 {
         let unit = self.runs.values().filter(|other| other.unit == placed.unit);
         unit.map(|other| other.moved).max().unwrap_or(placed.moved)
     }
@@ -174,7 +174,7 @@
     /// True if all runs that stop together with this one end by themselves about
     /// as soon as a stop would take. A member of a gang that is through waits
     /// for the others.
-    pub fn unit_ends(&self, placed: &Placed, settings: &Settings, now: u64) -> bool {
+    pub fn unit_ends(&self, placed: &Placement, settings: &Settings, now: u64) -> bool {
         placed.ends_within(settings, now)
             && self
                 .runs
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -3,7 +3,7 @@
 use quincewheel_wire::{LinkId, Order};
 
 use crate::agent::Agent;
-use crate::entry::Placed;
+use crate::entry::Placement;
 use crate::output::Output;
 use crate::owner::Owner;
 
@@ -123,7 +123,7 @@
         for name in lost {
             self.blame_crash(&name);
             // What began since is not covered by the silence.
-            let old = |placed: &Placed| placed.agent == name && now >= placed.began + bound;
+            let old = |placed: &Placement| placed.agent == name && now >= placed.began + bound;
             for (id, key) in self.runs_where(old) {
                 self.log("run lapsed", &id, format!("{key:?} at {name}"));
                 self.drop_run(&id, key);
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -8,7 +8,7 @@
 use crate::detail::list;
 use crate::dismissal::Dismissal;
 use crate::election::SOONEST;
-use crate::entry::{Entry, Key, Phase, Placed};
+use crate::entry::{Entry, Key, Phase, Placement};
 use crate::evacuation::Evacuated;
 use crate::guide::Guide;
 use crate::listing::Listing;
@@ -417,7 +417,7 @@
         }
     }
 
-    pub(crate) fn runs_where(&self, wanted: impl Fn(&Placed) -> bool) -> Vec<(Id, Key)> {
+    pub(crate) fn runs_where(&self, wanted: impl Fn(&Placement) -> bool) -> Vec<(Id, Key)> {
         let runs = self
             .jobs
             .iter()
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/pace.rs
@@ -6,7 +6,7 @@
 use quincewheel_job::Step;
 use quincewheel_policy as policy;
 
-use crate::entry::{Key, Phase, Placed};
+use crate::entry::{Key, Phase, Placement};
 use crate::owner::Owner;
 
 impl Owner {
@@ -48,7 +48,7 @@
 
 /// `moved` is when any run of the unit last got further: a member of a gang that
 /// is through waits for the others, which is no standstill.
-fn stands_still(step: &Step, placed: &Placed, moved: u64, now: u64) -> bool {
+fn stands_still(step: &Step, placed: &Placement, moved: u64, now: u64) -> bool {
     let still = now.saturating_sub(moved);
     placed.phase == Phase::Running && !step.perpetual && policy::stands_still(step.estimate, still)
 }
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -7,11 +7,11 @@
 use quincewheel_policy::{APART, Guarantees, Rank, is_half_free, spare, unspare, weight};
 use quincewheel_wire::Order;
 
-use crate::board::{Barred, Board};
 use crate::candidate::Candidate;
-use crate::entry::{Entry, Phase, Placed};
+use crate::entry::{Entry, Phase, Placement};
 use crate::guide::Guide;
 use crate::owner::{Owner, task};
+use crate::snapshot::{Barred, Snapshot};
 use crate::suspects::{Fresh, one_by_one};
 
 impl Owner {
@@ -27,13 +27,13 @@
         // Guaranteed work whose room is being made comes first: else what ranks before it would
         // take that room, and both would be late in turn.
         candidates.sort_by_key(|candidate| (!self.is_promised(candidate), candidate.rank));
-        let mut board = self.board(now);
+        let mut snapshot = self.snapshot(now);
         self.waits.begin();
         for candidate in &candidates {
-            self.serve(candidate, &mut board, now, wall);
+            self.serve(candidate, &mut snapshot, now, wall);
         }
         // What waits for a suspect to outlive its start is decided by time alone.
-        if board.fresh.values().any(|fresh| *fresh == Fresh::Suspect) {
+        if snapshot.fresh.values().any(|fresh| *fresh == Fresh::Suspect) {
             self.look_again(wall + APART);
         }
         self.note_held_back(now, wall);
@@ -158,11 +158,11 @@
     }
 
     /// Starts what it can of one candidate, or makes room for it.
-    fn serve(&mut self, candidate: &Candidate, board: &mut Board, now: u64, wall: u64) {
+    fn serve(&mut self, candidate: &Candidate, snapshot: &mut Snapshot, now: u64, wall: u64) {
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let place = (candidate.occurrence, candidate.step);
         if let Some(reservation) = entry.reserved.get(&place).cloned() {
-            if self.redeem(candidate, &reservation, board, now) {
+            if self.redeem(candidate, &reservation, snapshot, now) {
                 self.note_reserved(candidate, now);
                 return;
             }
@@ -174,14 +174,16 @@
         let Some(step) = entry.job.steps.get(candidate.step as usize).cloned() else { return };
         let pool = self.pool(entry);
         let barred = Barred {
-            uncleared: self.uncleared(candidate, board, now),
-            avoided: self.avoided(candidate, board, now),
-            apart: self.kept_apart(candidate, board),
+            uncleared: self.uncleared(candidate, snapshot, now),
+            avoided: self.avoided(candidate, snapshot, now),
+            apart: self.kept_apart(candidate, snapshot),
         };
         let places = barred.places();
         let spared = match candidate.suspect {
-            true => self.try_suspect(candidate, (&step, &pool), (board, &places), (now, wall)),
-            false => self.place_on_rest(candidate, (&step, &pool), (board, &places), (now, wall)),
+            true => self.try_suspect(candidate, (&step, &pool), (snapshot, &places), (now, wall)),
+            false => {
+                self.place_on_rest(candidate, (&step, &pool), (snapshot, &places), (now, wall))
+            }
         };
         if self.unplaced(candidate) == 0 {
             return;
@@ -190,10 +192,10 @@
             self.look_again(wall + APART);
         }
         if !barred.uncleared.is_empty() {
-            self.ask(candidate, roomiest(&barred.uncleared, board, &pool, &step.label), now);
+            self.ask(candidate, roomiest(&barred.uncleared, snapshot, &pool, &step.label), now);
         }
-        let bars = board.bars(&spared, &barred);
-        self.note_wait(candidate, board, &bars, now);
+        let bars = snapshot.bars(&spared, &barred);
+        self.note_wait(candidate, snapshot, &bars, now);
     }
 
     /// Starts what it can of one candidate on the workers at other places than these.
@@ -201,12 +203,12 @@
         &mut self,
         candidate: &Candidate,
         (step, pool): (&Step, &str),
-        (board, barred): (&mut Board, &[usize]),
+        (snapshot, barred): (&mut Snapshot, &[usize]),
         time: (u64, u64),
     ) -> Vec<usize> {
-        let hidden = board.hide(barred);
-        let spared = self.place(candidate, step, pool, board, time);
-        board.show(hidden);
+        let hidden = snapshot.hide(barred);
+        let spared = self.place(candidate, step, pool, snapshot, time);
+        snapshot.show(hidden);
         spared
     }
 
@@ -219,14 +221,14 @@
 
     /// The places whose workers the step is not cleared for; none on a queue
     /// that needs no clearance.
-    fn uncleared(&self, candidate: &Candidate, board: &Board, now: u64) -> Vec<usize> {
+    fn uncleared(&self, candidate: &Candidate, snapshot: &Snapshot, now: u64) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
         if entry.job.queue.advice.is_none() {
             return Vec::new();
         }
         let key = (candidate.occurrence, candidate.step, 0);
         let cleared = |spot: &Spot| entry.ticket(key, &spot.worker, now).is_some();
-        let places = board.spots.iter().enumerate();
+        let places = snapshot.spots.iter().enumerate();
         places.filter(|(_, spot)| !cleared(spot)).map(|(place, _)| place).collect()
     }
 
@@ -237,20 +239,20 @@
         candidate: &Candidate,
         step: &Step,
         pool: &str,
-        board: &mut Board,
+        snapshot: &mut Snapshot,
         (now, wall): (u64, u64),
     ) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
-        let held = held(entry, (candidate.occurrence, candidate.step), &board.spots);
+        let held = held(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
         let count = candidate.tasks.len() as u32;
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
         let patient = wall < begin + PATIENCE;
         let ask = Ask { step, pool, count, patient, over: Hold::Lower, sure: false, held: &held };
         let waits_until =
-            self.waits_until(candidate, is_half_free(&board.spots, pool), (now, wall));
-        let spared = waits_until.map(|_| spare(&mut board.spots, pool)).unwrap_or_default();
-        let choices = pack(&board.spots, &ask);
-        let spared = unspare(&mut board.spots, spared);
+            self.waits_until(candidate, is_half_free(&snapshot.spots, pool), (now, wall));
+        let spared = waits_until.map(|_| spare(&mut snapshot.spots, pool)).unwrap_or_default();
+        let choices = pack(&snapshot.spots, &ask);
+        let spared = unspare(&mut snapshot.spots, spared);
         let started = choices.len();
         if started < candidate.tasks.len() {
             // Time alone gives it places that it leaves to others now.
@@ -261,11 +263,11 @@
         }
         let pairs: Vec<(u32, usize)> =
             candidate.tasks.iter().copied().zip(choices.iter().copied()).collect();
-        self.start(candidate, step, &pairs, board, now);
+        self.start(candidate, step, &pairs, snapshot, now);
         // Nobody gives way to what may crash the worker that is cleared for it.
         let takes = candidate.rank.takes_room() && !candidate.suspect;
         if takes && started < candidate.tasks.len() {
-            self.make_room(candidate, step, pool, started, board, (now, wall));
+            self.make_room(candidate, step, pool, started, snapshot, (now, wall));
         }
         spared
     }
@@ -309,18 +311,18 @@
         candidate: &Candidate,
         step: &Step,
         pairs: &[(u32, usize)],
-        board: &mut Board,
+        snapshot: &mut Snapshot,
         now: u64,
     ) {
         let need = step.charge();
         let gang_unit = self.next_unit;
         for &(index, place) in pairs {
-            let spot = &mut board.spots[place];
+            let spot = &mut snapshot.spots[place];
             spot.free.take(&need);
-            board.actual[place].take(&need);
+            snapshot.actual[place].take(&need);
             let name = spot.name.clone();
             let fresh = if candidate.suspect { Fresh::Suspect } else { Fresh::Any };
-            fresh.note(&mut board.fresh, place);
+            fresh.note(&mut snapshot.fresh, place);
             let Some(worker) = self.agents.get(&name).and_then(|agent| agent.worker.as_ref())
             else {
                 continue;
@@ -342,7 +344,7 @@
             let saved = entry.saved.get(&slot).cloned().unwrap_or_default();
             let spec = entry.job.spec.clone();
             let ticket = entry.ticket(key, &worker, now).unwrap_or_default().to_owned();
-            let placed = Placed {
+            let placed = Placement {
                 agent: name.clone(),
                 worker: worker.clone(),
                 run,
@@ -399,11 +401,11 @@
 
 /// The workers at these places that could run a step, those with the most room
 /// first.
-fn roomiest(places: &[usize], board: &Board, pool: &str, label: &String) -> Vec<Incarnation> {
+fn roomiest(places: &[usize], snapshot: &Snapshot, pool: &str, label: &String) -> Vec<Incarnation> {
     let fits =
         |spot: &&Spot| spot.pool == pool && (label.is_empty() || spot.labels.contains(label));
     let mut spots: Vec<&Spot> =
-        places.iter().map(|&place| &board.spots[place]).filter(fits).collect();
+        places.iter().map(|&place| &snapshot.spots[place]).filter(fits).collect();
     spots.sort_by_key(|spot| std::cmp::Reverse(spot.free.accelerators));
     spots.into_iter().map(|spot| spot.worker.clone()).collect()
 }
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -3,7 +3,7 @@
 use quincewheel_job::{End, How, Incarnation, Run, State, Task, Worker};
 use quincewheel_wire::{Order, Refused};
 
-use crate::entry::{Key, Phase, Placed};
+use crate::entry::{Key, Phase, Placement};
 use crate::owner::{Owner, task};
 use crate::refusals::Refusals;
 
@@ -197,7 +197,7 @@
                 // Started by a former owner.
                 let unit = self.next_unit;
                 self.next_unit += 1;
-                let placed = Placed {
+                let placed = Placement {
                     agent: name.to_owned(),
                     worker: from.clone(),
                     run: run.number,
@@ -217,7 +217,7 @@
                 let unit = entry.runs.range((key.0, key.1, 0)..=(key.0, key.1, u32::MAX));
                 let gang = entry.job.steps.get(key.1 as usize).is_some_and(|step| step.gang);
                 let unit = unit.map(|(_, other)| other.unit).next().filter(|_| gang);
-                let placed = Placed { unit: unit.unwrap_or(placed.unit), ..placed };
+                let placed = Placement { unit: unit.unwrap_or(placed.unit), ..placed };
                 entry.runs.insert(key, placed);
                 entry.numbers.insert(slot, run.number);
                 entry.save(slot, &run.saved);
@@ -322,7 +322,7 @@
 
     /// Takes note of how long a task took that is done. The longest of a step is what
     /// its job's objective allows for; one a step is enough to learn from.
-    fn learn(&mut self, task: &Task, run: &Placed, now: u64) {
+    fn learn(&mut self, task: &Task, run: &Placement, now: u64) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let estimate = entry.step(key(task)).map_or(0, |step| step.estimate);
         if !run.whole || estimate == 0 {
--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -3,10 +3,10 @@
 //! A worker that drains or falls silent changes no decision, so nothing is
 //! decided anew. What waits may then wait for it, and no longer for room.
 
-use crate::lack::Lack;
+use crate::cause::Cause;
+use crate::close_reason::CloseReason;
 use crate::owner::Owner;
 use crate::tally::Bar;
-use crate::wait::Cause;
 
 /// Time between two looks, in milliseconds: a line comes no sooner than that
 /// after the one before.
@@ -29,7 +29,7 @@
             return;
         }
         self.review.next = now + PAUSE;
-        let shut = |agent| Lack::of(agent, &self.settings, now).is_some();
+        let shut = |agent| CloseReason::of(agent, &self.settings, now).is_some();
         let agents = self.agents.iter().filter(|(_, agent)| shut(agent));
         let shut: Vec<String> = agents.map(|(name, _)| name.clone()).collect();
         if shut == self.review.shut {
@@ -40,10 +40,10 @@
         if waits.is_empty() {
             return;
         }
-        let board = self.board(now);
-        let bars = vec![Bar::Open; board.spots.len()];
+        let snapshot = self.snapshot(now);
+        let bars = vec![Bar::Open; snapshot.spots.len()];
         for (group, wait) in waits {
-            let found = self.diagnose(&group, wait.tasks, &board.spots, &bars);
+            let found = self.diagnose(&group, wait.tasks, &snapshot.spots, &bars);
             let changed = |cause: &Cause| cause.is_lack() || wait.cause.is_lack();
             if let Some((cause, room)) = found.filter(|(cause, _)| changed(cause)) {
                 self.waits.note(group, (wait.tasks, cause), room, now);
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -6,11 +6,11 @@
 use quincewheel_place::{Ask, Hold, reclaim};
 use quincewheel_policy::{last_call, pays, promised};
 
-use crate::board::Board;
 use crate::candidate::Candidate;
 use crate::entry::Reservation;
 use crate::owner::Owner;
 use crate::plan::held;
+use crate::snapshot::Snapshot;
 use crate::suspects::Fresh;
 
 impl Owner {
@@ -19,7 +19,7 @@
         &mut self,
         candidate: &Candidate,
         reservation: &Reservation,
-        board: &mut Board,
+        snapshot: &mut Snapshot,
         now: u64,
     ) -> bool {
         let Some(entry) = self.jobs.get(&candidate.id) else { return false };
@@ -29,10 +29,10 @@
         let places: Vec<usize> = reservation
             .agents
             .iter()
-            .filter_map(|name| board.spots.iter().position(|spot| spot.name == *name))
+            .filter_map(|name| snapshot.spots.iter().position(|spot| spot.name == *name))
             .collect();
         let cleared = |place: &usize| {
-            let worker = &board.spots[*place].worker;
+            let worker = &snapshot.spots[*place].worker;
             let key = (candidate.occurrence, candidate.step, 0);
             entry.job.queue.advice.is_none() || entry.ticket(key, worker, now).is_some()
         };
@@ -41,7 +41,7 @@
         // for void, work at another one would be stopped as well.
         let paused =
             |name: &String| self.agents.get(name).is_some_and(|agent| agent.refusals.until > 0);
-        let trial = |place: &usize| board.fresh.get(place) == Some(&Fresh::Suspect);
+        let trial = |place: &usize| snapshot.fresh.get(place) == Some(&Fresh::Suspect);
         if now < until && (reservation.agents.iter().any(paused) || places.iter().any(trial)) {
             self.keep_until(until);
             return true;
@@ -52,14 +52,14 @@
             return false;
         }
         let need = step.charge();
-        let mut actual = board.actual.clone();
+        let mut actual = snapshot.actual.clone();
         let whole = places.iter().all(|&place| {
             let fits = need.fits(&actual[place]);
             actual[place].take(&need);
             fits
         });
         if !whole {
-            let mut spots = board.spots.clone();
+            let mut spots = snapshot.spots.clone();
             let promised = places.iter().all(|&place| {
                 let fits = need.fits(&spots[place].near(false));
                 spots[place].reserve(&need);
@@ -67,7 +67,7 @@
             });
             // Else somebody who comes first took the room.
             if promised {
-                board.spots = spots;
+                snapshot.spots = spots;
                 self.keep_until(until);
             }
             return promised;
@@ -76,7 +76,7 @@
             entry.reserved.remove(&(candidate.occurrence, candidate.step));
         }
         let pairs: Vec<(u32, usize)> = candidate.tasks.iter().copied().zip(places).collect();
-        self.start(candidate, &step, &pairs, board, now);
+        self.start(candidate, &step, &pairs, snapshot, now);
         true
     }
 
@@ -92,12 +92,12 @@
         step: &Step,
         pool: &str,
         started: usize,
-        board: &mut Board,
+        snapshot: &mut Snapshot,
         (now, wall): (u64, u64),
     ) {
         let rest = &candidate.tasks[started..];
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
-        let held = held(entry, (candidate.occurrence, candidate.step), &board.spots);
+        let held = held(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
         let promised = promised(begin, self.settings.reclaim, self.settings.stop);
         let guaranteed = candidate.guaranteed();
@@ -106,10 +106,10 @@
         let over = if due { Hold::Borrowed } else { Hold::Lower };
         let ask = Ask { step, pool, count, patient: true, over, sure: guaranteed, held: &held };
         let last = last_call(begin, self.settings.reclaim, self.settings.stop);
-        let claim = reclaim(&board.spots, &ask).or_else(|| {
+        let claim = reclaim(&snapshot.spots, &ask).or_else(|| {
             let others = Ask { over: Hold::Guaranteed, sure: false, ..ask };
             let pressing = due && wall >= last && !entry.begun;
-            pressing.then(|| reclaim(&board.spots, &others)).flatten()
+            pressing.then(|| reclaim(&snapshot.spots, &others)).flatten()
         });
         let Some(claim) = claim else {
             if guaranteed {
@@ -122,20 +122,21 @@
             return;
         }
         let need = step.charge();
-        let firm: BTreeSet<u64> = (board.spots.iter().flat_map(|spot| &spot.holders))
+        let firm: BTreeSet<u64> = (snapshot.spots.iter().flat_map(|spot| &spot.holders))
             .filter(|holder| holder.hold == Hold::Guaranteed)
             .map(|holder| holder.unit)
             .collect();
-        for spot in &mut board.spots {
+        for spot in &mut snapshot.spots {
             for holder in spot.holders.iter().filter(|holder| claim.units.contains(&holder.unit)) {
                 spot.stopping.give(&holder.need);
             }
             spot.holders.retain(|holder| !claim.units.contains(&holder.unit));
         }
         for &place in &claim.choices {
-            board.spots[place].reserve(&need);
+            snapshot.spots[place].reserve(&need);
         }
-        let agents = claim.choices.iter().map(|&place| board.spots[place].name.clone()).collect();
+        let agents =
+            claim.choices.iter().map(|&place| snapshot.spots[place].name.clone()).collect();
         let reservation = Reservation { agents, since: now };
         self.keep_until(now + self.settings.reservation);
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
@@ -146,7 +147,7 @@
         let detail = format!("{kind}: {units} units stop, losing {loss} core-s for {work}");
         self.log("room reclaimed", &candidate.id, detail);
         for unit in claim.units {
-            for (id, key) in board.units.get(&unit).cloned().unwrap_or_default() {
+            for (id, key) in snapshot.units.get(&unit).cloned().unwrap_or_default() {
                 self.stop(&id, key, now);
                 let Some(entry) = self.jobs.get_mut(&id) else { continue };
                 entry.gave_way |= firm.contains(&unit);
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -9,13 +9,13 @@
 use quincewheel_job::{Id, Step, Worker};
 use quincewheel_place::{Ask, Hold, Spot};
 
-use crate::board::Board;
 use crate::candidate::Candidate;
+use crate::cause::Cause;
 use crate::entry::Entry;
 use crate::owner::Owner;
 use crate::plan::{held, pending};
+use crate::snapshot::Snapshot;
 use crate::tally::{Bar, Tally};
-use crate::wait::Cause;
 use crate::waits::Group;
 
 impl Owner {
@@ -41,11 +41,11 @@
     }
 
     /// Takes note of what keeps tasks of a candidate from starting, if any still
-    /// wait. `bars` are those of the board's workers.
+    /// wait. `bars` are those of the snapshot's workers.
     pub(crate) fn note_wait(
         &mut self,
         candidate: &Candidate,
-        board: &Board,
+        snapshot: &Snapshot,
         bars: &[Bar],
         now: u64,
     ) {
@@ -54,7 +54,9 @@
             return;
         }
         let group = group(candidate);
-        let Some((cause, room)) = self.diagnose(&group, left, &board.spots, bars) else { return };
+        let Some((cause, room)) = self.diagnose(&group, left, &snapshot.spots, bars) else {
+            return;
+        };
         self.waits.note(group, (left, cause), room, now);
     }
 
--- a/crates/dispatch/src/board.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -14,7 +14,7 @@
 use crate::tally::Bar;
 
 /// Workers, what is free on them, and what could be taken away.
-pub(crate) struct Board {
+pub(crate) struct Snapshot {
     /// The workers that take work.
     pub spots: Vec<Spot>,
     /// What is truly free, reservations not taken away.
@@ -46,13 +46,13 @@
     }
 }
 
-impl Board {
+impl Snapshot {
     /// Hides workers that a step is not cleared for.
     pub fn hide(&mut self, places: &[usize]) -> Vec<(usize, Spot)> {
         places.iter().map(|&place| (place, std::mem::take(&mut self.spots[place]))).collect()
     }
 
-    /// Shows again what [`Board::hide`] took.
+    /// Shows again what [`Snapshot::hide`] took.
     pub fn show(&mut self, hidden: Vec<(usize, Spot)>) {
         for (place, spot) in hidden {
             self.spots[place] = spot;
@@ -92,7 +92,7 @@
 
 impl Owner {
     /// The workers as they are.
-    pub(crate) fn board(&self, now: u64) -> Board {
+    pub(crate) fn snapshot(&self, now: u64) -> Snapshot {
         let mut spots: Vec<Spot> = Vec::new();
         let mut places: BTreeMap<&str, usize> = BTreeMap::new();
         for (name, agent) in &self.agents {
@@ -152,7 +152,7 @@
             }
         }
         let actual = spots.iter().map(|spot| spot.free).collect();
-        Board { spots, actual, units, fresh }
+        Snapshot { spots, actual, units, fresh }
     }
 
     /// What runs that nobody waits for leave of a worker's capacity until their stops are
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -6,11 +6,11 @@
 use quincewheel_policy::{APART, CRASHES};
 use quincewheel_wire::list_starts;
 
-use crate::board::Board;
 use crate::candidate::Candidate;
-use crate::entry::{Entry, Key, Placed};
+use crate::entry::{Entry, Key, Placement};
 use crate::owner::Owner;
 use crate::reports::key;
+use crate::snapshot::Snapshot;
 
 /// Crashes that may have been the doing of several tasks, as far as they are remembered. A task
 /// that is tried by itself is found out within a second; in that time few workers crash.
@@ -173,17 +173,17 @@
         &mut self,
         candidate: &Candidate,
         (step, pool): (&Step, &str),
-        (board, barred): (&mut Board, &[usize]),
+        (snapshot, barred): (&mut Snapshot, &[usize]),
         time: (u64, u64),
     ) -> Vec<usize> {
-        let mut order = board.least_used();
+        let mut order = snapshot.least_used();
         order.retain(|place| !barred.contains(place));
         let mut most = 1;
         loop {
             let open: BTreeSet<usize> = order.iter().take(most).copied().collect();
             let closed: Vec<usize> =
-                (0..board.spots.len()).filter(|place| !open.contains(place)).collect();
-            let spared = self.place_on_rest(candidate, (step, pool), (board, &closed), time);
+                (0..snapshot.spots.len()).filter(|place| !open.contains(place)).collect();
+            let spared = self.place_on_rest(candidate, (step, pool), (snapshot, &closed), time);
             if self.unplaced(candidate) == 0 || most >= order.len() {
                 return spared;
             }
@@ -194,9 +194,9 @@
     /// The places at which a candidate must not start now, lest a crash there be blamed on
     /// it or on what has just started there: for a suspect all at which anything has, for
     /// others those at which a suspect has.
-    pub(crate) fn kept_apart(&self, candidate: &Candidate, board: &Board) -> Vec<usize> {
+    pub(crate) fn kept_apart(&self, candidate: &Candidate, snapshot: &Snapshot) -> Vec<usize> {
         let kept = |fresh: Fresh| candidate.suspect || fresh == Fresh::Suspect;
-        let fresh = board.fresh.iter().filter(|(_, fresh)| kept(**fresh));
+        let fresh = snapshot.fresh.iter().filter(|(_, fresh)| kept(**fresh));
         fresh.map(|(place, _)| *place).collect()
     }
 }
@@ -218,7 +218,7 @@
     }
 
     /// Which it is, if the run has just started.
-    pub fn of(id: &str, entry: &Entry, key: Key, placed: &Placed, now: u64) -> Option<Fresh> {
+    pub fn of(id: &str, entry: &Entry, key: Key, placed: &Placement, now: u64) -> Option<Fresh> {
         if placed.outlived || now >= placed.confirmed.unwrap_or(now) + APART {
             return None;
         }
@@ -244,7 +244,7 @@
     }
     let slot = |index: u32| entry.key((occurrence, step, index));
     let open = |slot: &Key| !entry.explained.contains(slot);
-    let under_way = |(key, placed): (&Key, &Placed)| {
+    let under_way = |(key, placed): (&Key, &Placement)| {
         open(&entry.key(*key)) && Fresh::of(id, entry, *key, placed, now) == Some(Fresh::Suspect)
     };
     if entry.unrecorded || entry.runs.iter().any(under_way) {
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -2,7 +2,7 @@
 
 use quincewheel_place::{Ask, Spot};
 
-use crate::wait::Cause;
+use crate::cause::Cause;
 
 /// What is kept from a step at a place although it is free.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
--- a/crates/dispatch/src/unlisted.rs
+++ b/crates/dispatch/src/unlisted.rs
@@ -2,7 +2,7 @@
 
 use quincewheel_job::Id;
 
-use crate::entry::{Key, Phase, Placed};
+use crate::entry::{Key, Phase, Placement};
 use crate::owner::{Owner, task};
 
 /// Time between two looks for such runs, in milliseconds: each goes through all runs.
@@ -32,7 +32,8 @@
     }
 
     fn not_listed_for(&self, now: u64, bound: u64) -> Vec<(Id, Key)> {
-        let old = |placed: &Placed| placed.phase == Phase::Running && now >= placed.since + bound;
+        let old =
+            |placed: &Placement| placed.phase == Phase::Running && now >= placed.since + bound;
         let runs = self.jobs.iter().flat_map(|(id, entry)| entry.runs.iter().map(move |r| (id, r)));
         let missing =
             runs.filter(|(id, (key, placed))| old(placed) && self.omits(id, **key, placed));
@@ -40,7 +41,7 @@
     }
 
     /// True if the run's worker answers, and has not listed it last.
-    fn omits(&self, id: &str, key: Key, placed: &Placed) -> bool {
+    fn omits(&self, id: &str, key: Key, placed: &Placement) -> bool {
         let Some(agent) = self.agents.get(&placed.agent) else { return false };
         let there = agent.worker.as_ref().is_some_and(|worker| worker.is(&placed.worker));
         let run = (task(id, key), placed.run);
--- a/crates/dispatch/src/upkeep.rs
+++ b/crates/dispatch/src/upkeep.rs
@@ -10,7 +10,7 @@
 
 use quincewheel_job::{Condition, Machine, Wave};
 
-use crate::entry::Placed;
+use crate::entry::Placement;
 use crate::output::Output;
 use crate::owner::Owner;
 use crate::rows::Seen;
@@ -348,7 +348,7 @@
 
     /// True if no step that lasts would miss more tasks than it may.
     fn may_go(&self, agent: &str) -> bool {
-        let here = |placed: &Placed| placed.agent == agent;
+        let here = |placed: &Placement| placed.agent == agent;
         self.jobs.iter().all(|(id, entry)| {
             let mut hit: BTreeMap<(u32, u32), u32> = BTreeMap::new();
             for (key, _) in entry.runs.iter().filter(|(_, placed)| here(placed)) {
--- a/crates/dispatch/src/waits.rs
+++ b/crates/dispatch/src/waits.rs
@@ -2,12 +2,12 @@
 
 use quincewheel_job::Id;
 
-use crate::wait::Cause;
+use crate::cause::Cause;
 
 /// Nothing is told of work that has waited for less, in milliseconds. Most room
 /// is made and most short work ends within it: a stop takes up to 900. After a
 /// second a client's objective of a few seconds is at risk.
-pub(crate) const BOUND: u64 = 1000;
+pub(crate) const MIN_LOGGED_WAIT_MS: u64 = 1000;
 /// A wait that is over is told if it took so many milliseconds: more than the ways to
 /// the table, the owner and a worker, and a good part of what urgent work has to spare.
 const WORTH: u64 = 100;
@@ -72,7 +72,7 @@
     ) {
         let round = self.round;
         let spent = [0; Cause::ALL.len()];
-        let (noted, next) = (now, now + BOUND);
+        let (noted, next) = (now, now + MIN_LOGGED_WAIT_MS);
         let new = Wait { since: now, tasks, cause, room, spent, noted, told: None, next, round };
         let wait = self.groups.entry(group).or_insert(new);
         wait.spend(now);
@@ -110,7 +110,8 @@
 
     /// What has waited for long, and for what.
     pub fn long(&self, now: u64) -> impl Iterator<Item = (&Group, Cause)> {
-        let long = self.groups.iter().filter(move |(_, wait)| now >= wait.since + BOUND);
+        let long =
+            self.groups.iter().filter(move |(_, wait)| now >= wait.since + MIN_LOGGED_WAIT_MS);
         long.map(|(group, wait)| (group, wait.cause))
     }
 
@@ -163,7 +164,7 @@
 
     fn tell(&mut self, now: u64) -> Wait {
         self.told = Some(self.cause);
-        self.next = now + BOUND;
+        self.next = now + MIN_LOGGED_WAIT_MS;
         *self
     }
 }
