--- a/crates/dispatch/benches/owner.rs
+++ b/crates/dispatch/benches/owner.rs
@@ -36,7 +36,12 @@
         });
         let round = time(|at| {
             // A job that comes makes the owner decide anew.
-            bed.owner.job(&format!("n{at}"), job(1, vec![step(1, 8)]), 900 + u64::from(at), None);
+            bed.owner.add_job(
+                &format!("n{at}"),
+                job(1, vec![step(1, 8)]),
+                900 + u64::from(at),
+                None,
+            );
             bed.step();
         });
         println!(
@@ -53,12 +58,12 @@
     let mut bed = Bed::open(1, workers).idle(workers);
     for number in 0..workers {
         let tasks = vec![step(WIDE as u32, 1)];
-        bed.owner.job(&format!("r{number:04}"), job(2, tasks), 150 + number, None);
+        bed.owner.add_job(&format!("r{number:04}"), job(2, tasks), 150 + number, None);
     }
     bed.step();
     for number in 0..WAITING {
         let tasks = vec![step(40, 1)];
-        bed.owner.job(&format!("w{number:04}"), job(2, tasks), 600 + u64::from(number), None);
+        bed.owner.add_job(&format!("w{number:04}"), job(2, tasks), 600 + u64::from(number), None);
     }
     bed.step();
     bed
--- a/crates/dispatch/src/advice.rs
+++ b/crates/dispatch/src/advice.rs
@@ -100,7 +100,7 @@
         sent: u64,
         now: u64,
     ) {
-        self.asking = false;
+        self.advice_pending = false;
         self.replan = true;
         let Some(entry) = self.jobs.get_mut(&question.job) else { return };
         let clearance = entry.clearances.entry((question.occurrence, question.step)).or_default();
@@ -112,7 +112,7 @@
             }
             None => {
                 clearance.again = now + PAUSE;
-                self.ask_again = Some(now + PAUSE);
+                self.advice_retry_at = Some(now + PAUSE);
                 self.log("not cleared", &question.job, "no answer".to_owned());
             }
         }
@@ -121,7 +121,7 @@
     /// Asks where a step may run, one question at a time. `workers` have the
     /// most room first.
     pub(crate) fn ask(&mut self, candidate: &Candidate, workers: Vec<Incarnation>, now: u64) {
-        if self.asking {
+        if self.advice_pending {
             return;
         }
         let Some(entry) = self.jobs.get_mut(&candidate.id) else { return };
@@ -134,7 +134,7 @@
         }
         let (job, (occurrence, step)) = (candidate.id.clone(), place);
         let question = Question { job, occurrence, step, workers };
-        self.asking = true;
+        self.advice_pending = true;
         self.outputs.push(Output::Ask { question });
     }
 }
--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -13,28 +13,28 @@
     /// The open connection.
     pub link: Option<LinkId>,
     /// When the owner first knew of it.
-    pub joined: u64,
+    pub joined_at: u64,
     /// When the agent last told anything.
-    pub told: u64,
+    pub last_notice_at: u64,
     /// The worker, if the agent knows it.
     pub worker: Option<Worker>,
     /// Nothing of a former owner can be unknown there: the worker answered
     /// under this owner's epoch, or it is known to have left.
-    pub heard: bool,
+    pub reconciled: bool,
     /// The worker answered under this owner's epoch.
     pub fenced: bool,
     /// A former owner may have granted it leases.
-    pub former: bool,
+    pub predecessor_leases: bool,
     /// All leases that were granted through this agent have lapsed by then.
-    pub lapse: u64,
+    pub leases_expire_at: u64,
     /// Since when the agent has known no worker; none while it knows one.
-    pub unknown: Option<u64>,
+    pub no_worker_since: Option<u64>,
     /// Since when there has been no connection, or no worker, or one that has not
     /// answered for a whole lease; none while there is a worker that answers.
-    pub absent: Option<u64>,
+    pub absent_since: Option<u64>,
     /// Since when nothing has shown that the worker, which is known, lives: there is no
     /// connection, or it took none, or it owes an answer; none while something does.
-    pub missed: Option<u64>,
+    pub unresponsive_since: Option<u64>,
     /// What speaks against its worker.
     pub blame: Blame,
     /// Starts just after which the worker broke its connections, if it has not answered
@@ -43,54 +43,54 @@
     /// Starts that its worker refused of late.
     pub refusals: Refusals,
     /// Its worker said that it ends, and no other has reported since.
-    pub left: bool,
+    pub worker_left: bool,
     /// Its row is being dropped: nothing new starts there.
-    pub dropping: bool,
+    pub removal_pending: bool,
     /// Its machine goes down next: nothing new starts there.
     pub cordoned: bool,
     /// Operators evacuate its worker's availability zone: nothing new starts there.
-    pub evacuated: bool,
+    pub zone_evacuated: bool,
     /// The platform was asked to take its machine down: all that runs there is
     /// as good as gone.
-    pub doomed: bool,
+    pub shutdown_requested: bool,
     /// For how long the worker has owed an answer.
-    pub silent: u64,
+    pub silent_ms: u64,
     /// The runs that the worker listed last.
-    pub listed: Vec<(Task, u64)>,
+    pub listed_runs: Vec<(Task, u64)>,
     /// Those of them that nobody waits for: they are being stopped.
     pub strays: Vec<Task>,
     /// When it was last seen to that what should run there is listed.
-    pub checked: u64,
+    pub missing_checked_at: u64,
     /// The last end that was taken note of.
-    pub noted: u64,
+    pub last_end: u64,
     /// The last end that the worker was told to forget.
-    pub seen: u64,
+    pub acknowledged_end: u64,
     /// The worker is the last choice until then.
-    pub doubted: u64,
+    pub doubted_until: u64,
     /// The worker is slow until then, as it has just started, and the last choice.
-    pub warm: u64,
+    pub cold_until: u64,
     /// Runs that failed there in a row.
-    pub failures: u32,
+    pub consecutive_failures: u32,
 }
 
 impl Agent {
     /// Takes note of whether connection and worker are there, and the worker has
     /// answered within a `lease`. An agent that lives does not make a member of a
     /// worker that is gone: each later owner would wait for it.
-    pub fn look(&mut self, settings: &Settings, now: u64) {
+    pub fn update_liveness(&mut self, settings: &Settings, now: u64) {
         let lease = settings.lease + settings.margin;
-        let answers = self.link.is_some() && self.fenced && self.silent < settings.overdue;
+        let answers = self.link.is_some() && self.fenced && self.silent_ms < settings.overdue;
         match answers || self.worker.is_none() {
-            true => self.missed = None,
+            true => self.unresponsive_since = None,
             false => {
-                self.missed.get_or_insert(now);
+                self.unresponsive_since.get_or_insert(now);
             }
         }
-        match self.link.is_some() && self.worker.is_some() && self.silent < lease {
-            true => self.absent = None,
+        match self.link.is_some() && self.worker.is_some() && self.silent_ms < lease {
+            true => self.absent_since = None,
             false => {
-                let since = now.saturating_sub(self.silent).max(self.joined);
-                self.absent.get_or_insert(since);
+                let since = now.saturating_sub(self.silent_ms).max(self.joined_at);
+                self.absent_since.get_or_insert(since);
             }
         }
     }
@@ -103,25 +103,25 @@
     /// answer to a look. Signs of life that prove nothing (an agent without a
     /// worker that asks for leases, a connection made anew, a look that is refused)
     /// once did, and jobs accepted before a restart never started again.
-    pub fn clear(&self, last: u64, lease: u64, now: u64) -> bool {
+    pub fn is_clear_of_predecessors(&self, last: u64, lease: u64, now: u64) -> bool {
         let lapsed = now >= last + lease;
         match (&self.worker, self.link) {
-            _ if self.heard || !self.former => true,
+            _ if self.reconciled || !self.predecessor_leases => true,
             (None, _) => lapsed,
-            (Some(_), Some(_)) => self.silent >= lease,
-            (Some(_), None) => lapsed && now >= self.lapse,
+            (Some(_), Some(_)) => self.silent_ms >= lease,
+            (Some(_), None) => lapsed && now >= self.leases_expire_at,
         }
     }
 
     /// True if a start that is ordered now finds a lease there. An agent refuses a
     /// start with less than a fourth of one, and an owner that granted none but went
     /// on ordering would be refused hundreds of times a second.
-    pub fn leased(&self, settings: &Settings, now: u64) -> bool {
-        now + settings.lease / 4 + settings.margin < self.lapse
+    pub fn has_lease(&self, settings: &Settings, now: u64) -> bool {
+        now + settings.lease / 4 + settings.margin < self.leases_expire_at
     }
 
     /// True if runs may start there.
-    pub fn open(&self, settings: &Settings, now: u64) -> bool {
+    pub fn accepts_runs(&self, settings: &Settings, now: u64) -> bool {
         CloseReason::of(self, settings, now).is_none()
     }
 }
--- a/crates/dispatch/src/awaited.rs
+++ b/crates/dispatch/src/awaited.rs
@@ -23,7 +23,7 @@
 impl Owner {
     /// Tells whom older jobs wait for, and why, once for all of them.
     pub(crate) fn tell_unsettled(&mut self, now: u64, wall: u64) {
-        let waited = now - self.claimed;
+        let waited = now - self.claimed_at;
         if self.settled || waited < MIN_LOGGED_WAIT_MS || now < self.awaited.next {
             return;
         }
@@ -45,8 +45,11 @@
 
     /// The members that may run what a former owner started, and what each lacks.
     fn members(&self, now: u64) -> Vec<(String, CloseReason)> {
-        let (last, lease) = self.former_grants();
-        let agents = self.agents.iter().filter(|(_, agent)| !agent.clear(last, lease, now));
+        let (last, lease) = self.predecessor_grants();
+        let agents = self
+            .agents
+            .iter()
+            .filter(|(_, agent)| !agent.is_clear_of_predecessors(last, lease, now));
         let lack =
             |agent| CloseReason::of(agent, &self.settings, self.now).unwrap_or(CloseReason::Answer);
         agents.map(|(name, agent)| (name.clone(), lack(agent))).collect()
--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -16,10 +16,10 @@
         if let Some(entry) = self.jobs.get_mut(&task.job)
             && let Some(worker) = self.agents.get(name).and_then(|agent| agent.worker.as_ref())
         {
-            let slot = entry.key(key(task));
+            let slot = entry.slot(key(task));
             let until = now + AVOIDED;
-            entry.avoided.entry(slot).or_default().insert(worker.incarnation(), until);
-            self.avoiding = Some(self.avoiding.map_or(until, |at| at.min(until)));
+            entry.avoided_workers.entry(slot).or_default().insert(worker.incarnation(), until);
+            self.avoidance_ends_at = Some(self.avoidance_ends_at.map_or(until, |at| at.min(until)));
         }
         let closed = self.agents.values().filter(|agent| now < agent.blame.until).count();
         let most = most_closed(self.agents.len());
@@ -32,9 +32,9 @@
 
     /// Opens workers whose time is over, and lets tasks return to workers.
     pub(crate) fn reopen(&mut self, now: u64) {
-        if self.avoiding.take_if(|at| *at <= now).is_some() {
+        if self.avoidance_ends_at.take_if(|at| *at <= now).is_some() {
             self.replan = true;
-            self.avoiding = self.next_return(now);
+            self.avoidance_ends_at = self.next_return(now);
         }
         for agent in self.agents.values_mut().filter(|agent| agent.blame.until > 0) {
             if now >= agent.blame.until {
@@ -46,7 +46,7 @@
 
     /// When the next task may return to a worker at which it failed.
     fn next_return(&self, now: u64) -> Option<u64> {
-        let entries = self.jobs.values().flat_map(|entry| entry.avoided.values());
+        let entries = self.jobs.values().flat_map(|entry| entry.avoided_workers.values());
         entries.flat_map(|workers| workers.values().copied()).filter(|until| *until > now).min()
     }
 
@@ -58,14 +58,14 @@
         now: u64,
     ) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
-        if entry.avoided.is_empty() {
+        if entry.avoided_workers.is_empty() {
             return Vec::new();
         }
         let slots = candidate
             .tasks
             .iter()
-            .map(|&index| entry.key((candidate.occurrence, candidate.step, index)));
-        let avoided = slots.filter_map(|slot| entry.avoided.get(&slot)).flatten();
+            .map(|&index| entry.slot((candidate.occurrence, candidate.step, index)));
+        let avoided = slots.filter_map(|slot| entry.avoided_workers.get(&slot)).flatten();
         let workers: BTreeSet<&Incarnation> =
             avoided.filter(|(_, until)| now < **until).map(|(worker, _)| worker).collect();
         let places = snapshot.spots.iter().enumerate();
--- a/crates/dispatch/src/close_reason.rs
+++ b/crates/dispatch/src/close_reason.rs
@@ -22,17 +22,17 @@
     pub fn of(agent: &Agent, settings: &Settings, now: u64) -> Option<CloseReason> {
         let draining = agent.worker.as_ref().is_some_and(|worker| worker.draining);
         let lacks = [
-            (agent.link.is_none() || agent.dropping, CloseReason::Link),
-            (agent.worker.is_none() || agent.left, CloseReason::Worker),
+            (agent.link.is_none() || agent.removal_pending, CloseReason::Link),
+            (agent.worker.is_none() || agent.worker_left, CloseReason::Worker),
             (!agent.fenced, CloseReason::Answer),
             (agent.crash.is_some(), CloseReason::Broke),
             (agent.blame.until > 0, CloseReason::Blame),
             (agent.refusals.until > 0, CloseReason::Refusing),
-            (agent.cordoned || agent.doomed, CloseReason::Maintenance),
-            (agent.evacuated, CloseReason::Evacuated),
+            (agent.cordoned || agent.shutdown_requested, CloseReason::Maintenance),
+            (agent.zone_evacuated, CloseReason::Evacuated),
             (draining, CloseReason::Draining),
-            (agent.silent >= settings.mute, CloseReason::Silent),
-            (!agent.leased(settings, now), CloseReason::Lease),
+            (agent.silent_ms >= settings.mute, CloseReason::Silent),
+            (!agent.has_lease(settings, now), CloseReason::Lease),
         ];
         lacks.into_iter().find(|(holds, _)| *holds).map(|(_, lack)| lack)
     }
--- a/crates/dispatch/src/detail.rs
+++ b/crates/dispatch/src/detail.rs
@@ -18,7 +18,7 @@
         let (room, whole) = wait.room;
         let room = format!("room for {room} of {}, for {whole} if nothing ran", wait.tasks);
         let label = entry.job.steps.get(group.2 as usize).map_or("", |step| &step.label);
-        let closed = self.not_open(&self.pool(entry), label);
+        let closed = self.not_open(&self.pool_of(entry), label);
         let shut = match closed.is_empty() {
             true => String::new(),
             false => format!("; not open: {}", list(closed.clone())),
@@ -27,8 +27,8 @@
             Cause::Unsettled => String::new(),
             Cause::Remains => format!("at {}", list(remains(entry, group))),
             Cause::Unconfigured => format!("nothing is guaranteed yet; {room}{shut}"),
-            Cause::Pool => self.pool(entry),
-            Cause::Label => format!("{label} in pool {}", self.pool(entry)),
+            Cause::Pool => self.pool_of(entry),
+            Cause::Label => format!("{label} in pool {}", self.pool_of(entry)),
             Cause::Closed => list(closed),
             Cause::Few | Cause::Room | Cause::Spared | Cause::Rack | Cause::Apart => {
                 format!("{room}{shut}")
@@ -58,7 +58,7 @@
     fn failed_at(&self, entry: &Entry, (_, occurrence, step): &Group, now: u64) -> Vec<String> {
         let slots = (*occurrence, *step, 0)..=(*occurrence, *step, u32::MAX);
         let failed = |worker: &Incarnation| {
-            let mut slots = entry.avoided.range(slots.clone()).map(|(_, workers)| workers);
+            let mut slots = entry.avoided_workers.range(slots.clone()).map(|(_, workers)| workers);
             slots.any(|workers| workers.get(worker).is_some_and(|until| now < *until))
         };
         let agents = self.agents.iter();
@@ -69,7 +69,7 @@
 
     /// What is known of where the step may run.
     fn clearance(&self, entry: &Entry, (_, occurrence, step): &Group, now: u64) -> String {
-        let asking = if self.asking { "a question is out" } else { "no question is out" };
+        let asking = if self.advice_pending { "a question is out" } else { "no question is out" };
         let known = entry.clearances.get(&(*occurrence, *step));
         let (barred, cleared) = known.map_or((0, 0), |clearance| clearance.counts(now));
         format!("{asking}; may not run at {barred}, cleared for {cleared}")
@@ -83,10 +83,10 @@
 }
 
 fn reserved(entry: &Entry, (_, occurrence, step): &Group, now: u64) -> String {
-    let Some(reservation) = entry.reserved.get(&(*occurrence, *step)) else {
+    let Some(reservation) = entry.reservations.get(&(*occurrence, *step)) else {
         return String::new();
     };
-    let since = now.saturating_sub(reservation.since);
+    let since = now.saturating_sub(reservation.made_at);
     format!("at {}, since {since} ms", list(reservation.agents.clone()))
 }
 
--- a/crates/dispatch/src/dismissal.rs
+++ b/crates/dispatch/src/dismissal.rs
@@ -38,7 +38,11 @@
     /// new on the strength of an old answer: the first ping tells how silent it is.
     pub fn recall(&mut self, name: &str, agent: Agent) -> Agent {
         let Some(former) = self.former.remove(name) else { return agent };
-        Agent { lapse: agent.lapse.max(former.lapse), silent: former.silent, ..agent }
+        Agent {
+            leases_expire_at: agent.leases_expire_at.max(former.lapse),
+            silent_ms: former.silent,
+            ..agent
+        }
     }
 }
 
@@ -48,7 +52,7 @@
     pub(crate) fn begin_dismissal(&mut self, names: &[String], begun: bool) {
         for name in names {
             if let Some(agent) = self.agents.get_mut(name) {
-                agent.dropping = begun;
+                agent.removal_pending = begun;
                 self.replan |= !begun;
             }
         }
@@ -70,7 +74,7 @@
         self.blame_crash(name);
         let Some(agent) = self.agents.remove(name) else { return };
         self.log("agent dismissed", name, "no connection or worker".to_owned());
-        let former = Former { lapse: agent.lapse, silent: agent.silent };
+        let former = Former { lapse: agent.leases_expire_at, silent: agent.silent_ms };
         self.dismissal.former.insert(name.to_owned(), former);
         if let Some(link) = agent.link {
             self.links.remove(&link);
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -22,36 +22,36 @@
     /// Runs that may exist, by task.
     pub runs: BTreeMap<Key, Placement>,
     /// Since when nothing of it has run; none while something does.
-    pub idle: Option<u64>,
+    pub idle_since: Option<u64>,
     /// The newest checkpoint of each task, or of a gang under index 0.
     pub saved: BTreeMap<Key, String>,
     /// There are checkpoints newer than their record.
-    pub unsaved: bool,
+    pub checkpoints_dirty: bool,
     /// When the checkpoints were last recorded.
-    pub kept: u64,
+    pub checkpoints_recorded_at: u64,
     /// The last number given to a run of each task, or of a gang under index 0.
-    pub numbers: BTreeMap<Key, u64>,
+    pub run_numbers: BTreeMap<Key, u64>,
     /// How long the longest task of each step took that ran without a break.
-    pub took: BTreeMap<u32, u64>,
+    pub step_durations: BTreeMap<u32, u64>,
     /// Incarnations of workers at which a task, or a gang under index 0, has failed, and
     /// until when it does not return there.
-    pub avoided: BTreeMap<Key, BTreeMap<Incarnation, u64>>,
+    pub avoided_workers: BTreeMap<Key, BTreeMap<Incarnation, u64>>,
     /// Where steps are cleared to run, on queues that need it.
     pub clearances: BTreeMap<(u32, u32), Clearance>,
     /// All tasks of its first step have begun: what a guarantee promises in time is kept.
-    pub begun: bool,
+    pub first_step_started: bool,
     /// Room that was guaranteed to it was taken for a guarantee that nothing else could keep.
-    pub gave_way: bool,
+    pub guarantee_preempted: bool,
     /// Room that is being made for a step.
-    pub reserved: BTreeMap<(u32, u32), Reservation>,
+    pub reservations: BTreeMap<(u32, u32), Reservation>,
     /// Tasks, or gangs under index 0, that have outlived a start.
-    pub sound: BTreeSet<Key>,
+    pub survived_start: BTreeSet<Key>,
     /// Suspects, or their gangs under index 0, that were lost beside a task that has since
     /// crashed a worker by itself.
-    pub explained: BTreeSet<Key>,
+    pub exonerated: BTreeSet<Key>,
     /// A crash under one of its tasks is not recorded yet: none of it starts, or a change of
     /// owner could forget the crash, and the task be started without end.
-    pub unrecorded: bool,
+    pub crash_unrecorded: bool,
 }
 
 /// A run that may exist.
@@ -66,48 +66,48 @@
     /// What the owner knows of it.
     pub phase: Phase,
     /// Since when it has been in this phase, or listed by the worker.
-    pub since: u64,
+    pub updated_at: u64,
     /// When it was started.
-    pub began: u64,
+    pub started_at: u64,
     /// When its worker was first known to have it.
-    pub confirmed: Option<u64>,
+    pub confirmed_at: Option<u64>,
     /// Names the unit that stops as a whole.
     pub unit: u64,
     /// How far it is, 0 to 100.
     pub percent: u32,
     /// When it last got further.
-    pub moved: u64,
+    pub progressed_at: u64,
     /// The share of its speed at which it was told to work, in percent.
     pub pace: u32,
     /// It began anew, here: neither from a checkpoint nor under a former owner.
-    pub whole: bool,
+    pub from_scratch: bool,
     /// When the worker first listed it, by the agent's clock.
-    pub listed: Option<u64>,
+    pub first_listed_at: Option<u64>,
     /// Its worker has outlived its start.
-    pub outlived: bool,
+    pub survived_start: bool,
     /// The job that it gives way to.
-    pub yields_to: Option<Id>,
+    pub preempted_by: Option<Id>,
 }
 
 impl Placement {
     /// How long its start took to be confirmed and how long it ran from there, for the
     /// log, and whom it gave way to; nothing if it never was.
-    pub fn spent(&self, now: u64) -> String {
-        let Some(confirmed) = self.confirmed else { return String::new() };
-        let (start, ran) = (confirmed - self.began, now - confirmed);
-        let to = self.yields_to.as_ref().map(|id| format!(", for {id}")).unwrap_or_default();
+    pub fn timing_detail(&self, now: u64) -> String {
+        let Some(confirmed) = self.confirmed_at else { return String::new() };
+        let (start, ran) = (confirmed - self.started_at, now - confirmed);
+        let to = self.preempted_by.as_ref().map(|id| format!(", for {id}")).unwrap_or_default();
         format!(", started after {start} ms, ran {ran} ms{to}")
     }
 
     /// True if, going by its progress, it ends by itself about as soon as a
     /// stop would take: stopping it then only throws its work away.
-    pub fn ends_within(&self, settings: &Settings, now: u64) -> bool {
-        if !self.whole || self.phase != Phase::Running || self.percent < EVEN {
+    pub fn ends_soon(&self, settings: &Settings, now: u64) -> bool {
+        if !self.from_scratch || self.phase != Phase::Running || self.percent < EVEN {
             return false;
         }
-        let ran = self.since.saturating_sub(self.began);
+        let ran = self.updated_at.saturating_sub(self.started_at);
         let left = ran * u64::from(100 - self.percent.min(100)) / u64::from(self.percent);
-        self.since + left <= now + settings.stop + settings.ending
+        self.updated_at + left <= now + settings.stop + settings.ending
     }
 }
 
@@ -131,26 +131,26 @@
     /// An agent for each task.
     pub agents: Vec<String>,
     /// When it was made.
-    pub since: u64,
+    pub made_at: u64,
 }
 
 impl Entry {
     /// Takes a checkpoint in; empty if there is none.
-    pub fn save(&mut self, slot: Key, checkpoint: &str) {
+    pub fn update_checkpoint(&mut self, slot: Key, checkpoint: &str) {
         if !checkpoint.is_empty() {
-            self.unsaved |= self.saved.get(&slot).is_none_or(|known| known != checkpoint);
+            self.checkpoints_dirty |= self.saved.get(&slot).is_none_or(|known| known != checkpoint);
             self.saved.insert(slot, checkpoint.to_owned());
         }
     }
 
     /// The checkpoints that are worth a record: those of tasks not yet done.
-    pub fn checkpoints(&self, id: &str) -> Saved {
+    pub fn open_checkpoints(&self, id: &str) -> Saved {
         let open = self.saved.iter().filter(|(key, _)| !self.progress.done(&task(id, **key)));
         Saved::open(open)
     }
 
     /// The key under which a task's numbers, checkpoint and failures are kept.
-    pub fn key(&self, (occurrence, step, index): Key) -> Key {
+    pub fn slot(&self, (occurrence, step, index): Key) -> Key {
         let gang = self.job.steps.get(step as usize).is_some_and(|step| step.gang);
         (occurrence, step, if gang { 0 } else { index })
     }
@@ -166,53 +166,55 @@
     }
 
     /// When any run that stops together with this one last got further.
-    pub fn unit_moved(&self, placed: &Placement) -> u64 {
+    pub fn unit_progressed_at(&self, placed: &Placement) -> u64 {
         let unit = self.runs.values().filter(|other| other.unit == placed.unit);
-        unit.map(|other| other.moved).max().unwrap_or(placed.moved)
+        unit.map(|other| other.progressed_at).max().unwrap_or(placed.progressed_at)
     }
 
     /// True if all runs that stop together with this one end by themselves about
     /// as soon as a stop would take. A member of a gang that is through waits
     /// for the others.
-    pub fn unit_ends(&self, placed: &Placement, settings: &Settings, now: u64) -> bool {
-        placed.ends_within(settings, now)
+    pub fn unit_ends_soon(&self, placed: &Placement, settings: &Settings, now: u64) -> bool {
+        placed.ends_soon(settings, now)
             && self
                 .runs
                 .values()
                 .filter(|other| other.unit == placed.unit)
-                .all(|other| other.ends_within(settings, now))
+                .all(|other| other.ends_soon(settings, now))
     }
 
     /// How many workers in a row crashed just after starts of a task.
-    pub fn crashes(&self, id: &str, key: Key) -> u32 {
+    pub fn consecutive_crashes(&self, id: &str, key: Key) -> u32 {
         if self.progress.suspected() { self.progress.crashes(&self.job, &task(id, key)) } else { 0 }
     }
 
     /// True if the run of a task, or of all members of its gang, has outlived its start.
     /// Members that wait for another prove nothing: the gang has not begun to work, and the
     /// one that is missing may have crashed its worker.
-    pub fn gang_outlived(&self, key: Key) -> bool {
+    pub fn gang_survived_start(&self, key: Key) -> bool {
         let Some(step) = self.step(key).filter(|step| step.gang) else {
-            return self.runs.get(&key).is_some_and(|placed| placed.outlived);
+            return self.runs.get(&key).is_some_and(|placed| placed.survived_start);
         };
         let all = (key.0, key.1, 0)..=(key.0, key.1, u32::MAX);
-        let outlived = self.runs.range(all).filter(|(_, placed)| placed.outlived);
+        let outlived = self.runs.range(all).filter(|(_, placed)| placed.survived_start);
         outlived.count() == step.count as usize
     }
 
     /// Takes note of whether all tasks of its first step have begun.
-    pub fn note_begun(&mut self, id: &str) {
-        let Some(step) = self.job.steps.first().filter(|_| !self.begun) else { return };
+    pub fn update_first_step_started(&mut self, id: &str) {
+        let Some(step) = self.job.steps.first().filter(|_| !self.first_step_started) else {
+            return;
+        };
         let begun = |index: u32| {
             let key = (0, 0, index);
-            let confirmed = self.runs.get(&key).is_some_and(|placed| placed.confirmed.is_some());
+            let confirmed = self.runs.get(&key).is_some_and(|placed| placed.confirmed_at.is_some());
             confirmed || self.progress.done(&task(id, key))
         };
-        self.begun = (0..step.count).all(begun);
+        self.first_step_started = (0..step.count).all(begun);
     }
 
     /// True if a run of the step may exist.
-    pub fn placed(&self, occurrence: u32, step: u32) -> bool {
+    pub fn has_runs(&self, occurrence: u32, step: u32) -> bool {
         let all = (occurrence, step, 0)..=(occurrence, step, u32::MAX);
         self.runs.range(all).next().is_some()
     }
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -62,7 +62,7 @@
         let former = std::mem::replace(&mut self.evacuated.zones, zones.clone());
         self.evacuated.ever = true;
         for agent in self.agents.values_mut() {
-            agent.evacuated = agent.worker.as_ref().is_some_and(|w| zones.covers(&w.zone));
+            agent.zone_evacuated = agent.worker.as_ref().is_some_and(|w| zones.covers(&w.zone));
         }
         for zone in zones.beyond(&former) {
             self.tell_begun(zone);
@@ -140,7 +140,7 @@
     /// that nobody waits for and that are being stopped.
     fn evacuated_runs(&self) -> BTreeMap<String, usize> {
         let zone = |name: &str| {
-            let agent = self.agents.get(name).filter(|agent| agent.evacuated)?;
+            let agent = self.agents.get(name).filter(|agent| agent.zone_evacuated)?;
             agent.worker.as_ref().map(|worker| worker.zone.as_str())
         };
         let placed = self.jobs.values().flat_map(|entry| entry.runs.values());
--- a/crates/dispatch/src/guide.rs
+++ b/crates/dispatch/src/guide.rs
@@ -33,7 +33,7 @@
     /// How long a step of the job is expected to take, in milliseconds.
     pub fn expect(&self, entry: &Entry, number: u32, step: &Step) -> u64 {
         let queue = &entry.job.queue;
-        let known = entry.took.get(&number).copied();
+        let known = entry.step_durations.get(&number).copied();
         let time = known.unwrap_or_else(|| self.times.expect(&queue.name, step.estimate));
         time * waves(step, self.pools.get(&queue.pool))
     }
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -69,9 +69,11 @@
         let missed: BTreeMap<&str, u64> = self
             .agents
             .iter()
-            .filter_map(|(name, agent)| agent.missed.map(|since| (name.as_str(), since)))
+            .filter_map(|(name, agent)| {
+                agent.unresponsive_since.map(|since| (name.as_str(), since))
+            })
             .collect();
-        let (granted, _) = self.former_grants();
+        let (granted, _) = self.predecessor_grants();
         let unsettled = Some(granted).filter(|&granted| !self.settled && now >= granted);
         if missed.is_empty() {
             return unsettled;
@@ -120,7 +122,7 @@
         let missed = move |since: Option<u64>| since.is_some_and(|since| since <= sent);
         self.agents.iter().filter_map(move |(name, agent)| {
             let worker = agent.worker.as_ref()?;
-            let open = missed(agent.missed) && !agent.left;
+            let open = missed(agent.unresponsive_since) && !agent.worker_left;
             (open && !listed.contains(worker.id.as_str())).then_some((name.as_str(), worker))
         })
     }
@@ -130,17 +132,17 @@
     /// former owner may have granted: what is not listed runs nothing, and what came
     /// later was given nothing.
     fn settle_by_list(&mut self, listed: &BTreeSet<&str>, sent: u64) {
-        let (granted, _) = self.former_grants();
+        let (granted, _) = self.predecessor_grants();
         if self.settled || sent < granted {
             return;
         }
-        let heard = self.agents.values().filter(|agent| agent.heard && !agent.left);
+        let heard = self.agents.values().filter(|agent| agent.reconciled && !agent.worker_left);
         let heard: BTreeSet<&str> =
             heard.filter_map(|agent| agent.worker.as_ref()).map(|w| w.id.as_str()).collect();
         let open = listed.iter().filter(|id| !id.is_empty() && !heard.contains(*id));
         if open.count() == 0 {
             for agent in self.agents.values_mut() {
-                agent.heard = true;
+                agent.reconciled = true;
             }
         }
     }
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -11,14 +11,20 @@
     /// An agent exists. Those known at a takeover must be heard, or their
     /// leases lapse, before work of the former owner starts again.
     pub fn agent(&mut self, name: &str, now: u64) {
-        let lapse = match now.saturating_sub(self.claimed) {
+        let lapse = match now.saturating_sub(self.claimed_at) {
             // Known since the takeover: the former owner may have granted a
             // lease up to the moment at which it was replaced.
-            0..=1000 => self.claimed + self.settings.lease + self.settings.margin,
+            0..=1000 => self.claimed_at + self.settings.lease + self.settings.margin,
             _ => 0,
         };
         let former = lapse > 0;
-        let agent = Agent { former, lapse, joined: now, told: now, ..Agent::default() };
+        let agent = Agent {
+            predecessor_leases: former,
+            leases_expire_at: lapse,
+            joined_at: now,
+            last_notice_at: now,
+            ..Agent::default()
+        };
         if !self.agents.contains_key(name) {
             let agent = self.dismissal.recall(name, agent);
             self.agents.insert(name.to_owned(), agent);
@@ -35,7 +41,7 @@
         self.agent(agent, now);
         let epoch = self.epoch;
         if let Some(known) = self.agents.get_mut(agent) {
-            known.told = now;
+            known.last_notice_at = now;
             known.fenced = false;
             if let Some(former) = known.link.replace(link) {
                 self.links.remove(&former);
@@ -70,9 +76,9 @@
     /// down, what ran there was held for a lease longer: 19 s instead of 10.
     pub(crate) fn grant(&mut self, name: &str, link: LinkId, stamp: u64, silent: u64, now: u64) {
         let bound = self.settings.fresh;
-        let heard = |agent: &&Agent| agent.link.is_some() && now <= agent.told + bound;
+        let heard = |agent: &&Agent| agent.link.is_some() && now <= agent.last_notice_at + bound;
         let most = self.agents.values().filter(heard).count() * 2 > self.agents.len();
-        let unconfirmed = now.saturating_sub(self.confirmed);
+        let unconfirmed = now.saturating_sub(self.confirmed_at);
         if unconfirmed > self.settings.autonomy
             || (unconfirmed > self.settings.unconfirmed && !most)
         {
@@ -81,8 +87,8 @@
         let Some(agent) = self.agents.get_mut(name) else { return };
         let age = if silent >= self.settings.overdue { silent } else { 0 };
         let lapse = (now + self.settings.lease + self.settings.margin).saturating_sub(age);
-        self.replan |= !agent.leased(&self.settings, now);
-        agent.lapse = agent.lapse.max(lapse);
+        self.replan |= !agent.has_lease(&self.settings, now);
+        agent.leases_expire_at = agent.leases_expire_at.max(lapse);
         self.send(link, Order::Grant { stamp: stamp.saturating_sub(age) });
     }
 
@@ -91,8 +97,8 @@
     pub(crate) fn hear(&mut self, name: &str, silent: u64) {
         let Some(agent) = self.agents.get_mut(name) else { return };
         let mute = self.settings.mute;
-        self.replan |= agent.silent >= mute && silent < mute;
-        agent.silent = silent;
+        self.replan |= agent.silent_ms >= mute && silent < mute;
+        agent.silent_ms = silent;
     }
 
     /// Closes connections on which nothing comes any more. A connection may
@@ -100,7 +106,7 @@
     /// missing pings show it.
     pub(crate) fn close_silent(&mut self, now: u64) {
         let bound = self.settings.silence;
-        let silent = self.agents.values().filter(|agent| now > agent.told + bound);
+        let silent = self.agents.values().filter(|agent| now > agent.last_notice_at + bound);
         let links: Vec<LinkId> = silent.filter_map(|agent| agent.link).collect();
         for link in links {
             self.unlinked(link);
@@ -113,9 +119,9 @@
         let bound = self.settings.lease + self.settings.margin;
         let mut lost = Vec::new();
         for (name, agent) in &self.agents {
-            let unlinked = agent.link.is_none() && now >= agent.lapse;
-            let unknown = agent.unknown.is_some_and(|since| now >= since + bound);
-            if unlinked || unknown || agent.silent >= bound {
+            let unlinked = agent.link.is_none() && now >= agent.leases_expire_at;
+            let unknown = agent.no_worker_since.is_some_and(|since| now >= since + bound);
+            if unlinked || unknown || agent.silent_ms >= bound {
                 lost.push(name.clone());
             }
         }
@@ -123,10 +129,10 @@
         for name in lost {
             self.blame_crash(&name);
             // What began since is not covered by the silence.
-            let old = |placed: &Placement| placed.agent == name && now >= placed.began + bound;
+            let old = |placed: &Placement| placed.agent == name && now >= placed.started_at + bound;
             for (id, key) in self.runs_where(old) {
                 self.log("run lapsed", &id, format!("{key:?} at {name}"));
-                self.drop_run(&id, key);
+                self.remove_run(&id, key);
             }
         }
     }
@@ -135,7 +141,7 @@
     fn lapse_dismissed(&mut self, now: u64) {
         for (id, key) in self.runs_where(|placed| self.dismissal.lapsed(&placed.agent, now)) {
             self.log("run lapsed", &id, format!("{key:?}: its agent is no member"));
-            self.drop_run(&id, key);
+            self.remove_run(&id, key);
         }
     }
 
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -24,51 +24,51 @@
 pub struct Owner {
     pub(crate) settings: Settings,
     pub(crate) epoch: u64,
-    pub(crate) claimed: u64,
+    pub(crate) claimed_at: u64,
     /// When time last passed.
     pub(crate) now: u64,
     /// When all agents were last looked at.
-    looked: u64,
+    agents_checked_at: u64,
     /// When runs that no worker lists were last looked for.
-    pub(crate) sought: u64,
+    pub(crate) unlisted_checked_at: u64,
     /// The table's version at which the ownership was claimed.
     pub(crate) claim_version: u64,
-    pub(crate) confirmed: u64,
+    pub(crate) confirmed_at: u64,
     /// When the last write of the owner's row was sent that took effect then.
-    renewed: u64,
+    renewed_at: u64,
     pub(crate) config: Config,
     pub(crate) jobs: BTreeMap<Id, Entry>,
     /// Jobs that ended under this owner and whose rows are still there.
-    pub(crate) over: BTreeSet<Id>,
+    pub(crate) ended_jobs: BTreeSet<Id>,
     /// Jobs up to this version of the table were taken in at the takeover.
-    pub(crate) loaded: u64,
+    pub(crate) loaded_version: u64,
     pub(crate) agents: BTreeMap<String, Agent>,
     pub(crate) links: BTreeMap<LinkId, String>,
     /// Agents that were members.
     pub(crate) dismissal: Dismissal,
     /// Runs that nobody waits for, and when their stop was ordered.
-    pub(crate) strays: BTreeMap<(Task, u64), u64>,
+    pub(crate) stray_stops: BTreeMap<(Task, u64), u64>,
     pub(crate) dirty: BTreeSet<Id>,
     /// A change of state that callers wait for is among the dirty ones.
-    pub(crate) urgent: bool,
+    pub(crate) dirty_urgent: bool,
     /// Run times of earlier steps.
     pub(crate) times: Times,
     /// More was learned of them than was recorded.
-    pub(crate) learned: bool,
+    pub(crate) times_changed: bool,
     /// The service that clears steps for workers has a question to answer.
-    pub(crate) asking: bool,
+    pub(crate) advice_pending: bool,
     /// When the next task may return to a worker at which it failed.
-    pub(crate) avoiding: Option<u64>,
+    pub(crate) avoidance_ends_at: Option<u64>,
     /// When room that is kept for a step is void, if it has not become free.
-    pub(crate) kept_until: Option<u64>,
+    pub(crate) reservation_ends_at: Option<u64>,
     /// When a question that got no answer may be asked again.
-    pub(crate) ask_again: Option<u64>,
-    pub(crate) recording: bool,
+    pub(crate) advice_retry_at: Option<u64>,
+    pub(crate) record_in_flight: bool,
     pub(crate) replan: bool,
     /// When most agents were first known to follow this owner.
-    pub(crate) followed: Option<u64>,
+    pub(crate) majority_since: Option<u64>,
     /// No former owner grants leases any more.
-    pub(crate) former_gone: bool,
+    pub(crate) predecessor_ended: bool,
     /// Nothing that a former owner started can be unknown any more.
     pub(crate) settled: bool,
     /// What was told of members that older jobs wait for.
@@ -80,14 +80,14 @@
     /// What the platform was asked about workers that may be gone.
     pub(crate) listing: Listing,
     /// What had just started at workers that crashed, where it was several tasks.
-    pub(crate) shared: Vec<Vec<Task>>,
+    pub(crate) suspect_groups: Vec<Vec<Task>>,
     /// Waves of maintenance.
     pub(crate) upkeep: Upkeep,
     /// Availability zones in which nothing starts.
     pub(crate) evacuated: Evacuated,
     pub(crate) next_unit: u64,
     /// The next time of day at which time alone changes what may start.
-    pub(crate) next_due: Option<u64>,
+    pub(crate) replan_at: Option<u64>,
     pub(crate) outputs: Vec<Output>,
 }
 
@@ -102,53 +102,53 @@
 
 impl Owner {
     /// An owner under `epoch`, claimed when the table was at `version`.
-    pub fn open(settings: Settings, epoch: u64, version: u64, now: u64) -> Owner {
+    pub fn new(settings: Settings, epoch: u64, version: u64, now: u64) -> Owner {
         Owner {
             settings,
             epoch,
-            claimed: now,
+            claimed_at: now,
             now,
-            looked: 0,
-            sought: now,
+            agents_checked_at: 0,
+            unlisted_checked_at: now,
             claim_version: version,
-            confirmed: now,
-            renewed: 0,
+            confirmed_at: now,
+            renewed_at: 0,
             config: Config::default(),
             jobs: BTreeMap::new(),
-            over: BTreeSet::new(),
-            loaded: 0,
+            ended_jobs: BTreeSet::new(),
+            loaded_version: 0,
             agents: BTreeMap::new(),
             links: BTreeMap::new(),
             dismissal: Dismissal::default(),
-            strays: BTreeMap::new(),
+            stray_stops: BTreeMap::new(),
             dirty: BTreeSet::new(),
-            urgent: false,
+            dirty_urgent: false,
             times: Times::default(),
-            learned: false,
-            asking: false,
-            avoiding: None,
-            kept_until: None,
-            ask_again: None,
-            recording: false,
+            times_changed: false,
+            advice_pending: false,
+            avoidance_ends_at: None,
+            reservation_ends_at: None,
+            advice_retry_at: None,
+            record_in_flight: false,
             replan: true,
-            followed: None,
-            former_gone: false,
+            majority_since: None,
+            predecessor_ended: false,
             settled: false,
             awaited: Awaited::default(),
             review: Review::default(),
             waits: Waits::default(),
             listing: Listing::default(),
-            shared: Vec::new(),
+            suspect_groups: Vec::new(),
             upkeep: Upkeep::default(),
             evacuated: Evacuated::default(),
             next_unit: 1,
-            next_due: None,
+            replan_at: None,
             outputs: Vec::new(),
         }
     }
 
     /// Takes what is to be done.
-    pub fn outputs(&mut self) -> Vec<Output> {
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// The bounds changed. What was granted before keeps its own lease.
-    pub fn tune(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         let lease = settings.lease.max(self.settings.lease);
         self.settings = Settings { lease, ..settings };
     }
@@ -175,9 +175,9 @@
     /// waited for until most agents follow this one, or for as long as it may grant
     /// by itself: 14.2 s before older jobs start where all processes were killed and
     /// half of the workers are gone, instead of a lease of 6.2 s.
-    pub fn former_ended(&mut self) {
-        self.followed = Some(self.claimed);
-        self.former_gone = true;
+    pub fn predecessor_ended(&mut self) {
+        self.majority_since = Some(self.claimed_at);
+        self.predecessor_ended = true;
     }
 
     /// True once nothing that a former owner started can be unknown any more.
@@ -186,7 +186,7 @@
     }
 
     /// Run times as a former owner had learned them.
-    pub fn remember(&mut self, times: &Times) {
+    pub fn restore_times(&mut self, times: &Times) {
         self.times = times.clone();
     }
 
@@ -196,8 +196,10 @@
     /// are read anew when the table forgets its history, and the answer may be
     /// older than this owner's last record. A job that ended meanwhile must not
     /// begin anew.
-    pub fn job(&mut self, id: &str, job: Job, version: u64, progress: Option<Progress>) {
-        let known = self.jobs.contains_key(id) || self.over.contains(id) || version <= self.loaded;
+    pub fn add_job(&mut self, id: &str, job: Job, version: u64, progress: Option<Progress>) {
+        let known = self.jobs.contains_key(id)
+            || self.ended_jobs.contains(id)
+            || version <= self.loaded_version;
         if known || progress.as_ref().is_some_and(|p| p.state.ended()) {
             return;
         }
@@ -206,49 +208,49 @@
             version,
             progress: progress.unwrap_or_default(),
             runs: BTreeMap::new(),
-            idle: None,
+            idle_since: None,
             saved: BTreeMap::new(),
-            unsaved: false,
-            kept: 0,
-            numbers: BTreeMap::new(),
-            took: BTreeMap::new(),
-            avoided: BTreeMap::new(),
+            checkpoints_dirty: false,
+            checkpoints_recorded_at: 0,
+            run_numbers: BTreeMap::new(),
+            step_durations: BTreeMap::new(),
+            avoided_workers: BTreeMap::new(),
             clearances: BTreeMap::new(),
-            begun: false,
-            gave_way: false,
-            reserved: BTreeMap::new(),
-            sound: BTreeSet::new(),
-            explained: BTreeSet::new(),
-            unrecorded: false,
+            first_step_started: false,
+            guarantee_preempted: false,
+            reservations: BTreeMap::new(),
+            survived_start: BTreeSet::new(),
+            exonerated: BTreeSet::new(),
+            crash_unrecorded: false,
         };
         self.jobs.insert(id.to_owned(), entry);
         self.replan = true;
-        if self.loaded > 0 {
+        if self.loaded_version > 0 {
             self.log("known", id, format!("version {version}"));
         }
     }
 
     /// All jobs up to this version of the table have been taken in.
-    pub fn loaded(&mut self, version: u64) {
-        self.loaded = version;
+    pub fn jobs_loaded(&mut self, version: u64) {
+        self.loaded_version = version;
     }
 
     /// The rows of jobs that ended long ago were dropped.
-    pub fn dropped(&mut self, ids: &[Id]) {
+    pub fn remove_ended_jobs(&mut self, ids: &[Id]) {
         for id in ids {
-            self.over.remove(id);
+            self.ended_jobs.remove(id);
         }
     }
 
     /// Forgets an ended job but for its name.
     pub(crate) fn close_job(&mut self, id: &str) {
         if self.jobs.remove(id).is_some() {
-            self.over.insert(id.to_owned());
+            self.ended_jobs.insert(id.to_owned());
         }
     }
 
     /// A job's checkpoints as they were recorded.
-    pub fn restore(&mut self, id: &str, saved: &Saved) {
+    pub fn restore_checkpoints(&mut self, id: &str, saved: &Saved) {
         if let Some(entry) = self.jobs.get_mut(id) {
             for (key, checkpoint) in saved.tasks() {
                 entry.saved.entry(key).or_insert(checkpoint);
@@ -262,26 +264,26 @@
     }
 
     /// The table confirmed the ownership by a call that was sent at `sent`.
-    pub fn confirm(&mut self, sent: u64) {
-        self.confirmed = self.confirmed.max(sent);
+    pub fn confirm_ownership(&mut self, sent: u64) {
+        self.confirmed_at = self.confirmed_at.max(sent);
     }
 
     /// True if no other entry can own yet: each waits for longer than this after the last write
     /// of the owner's row that it has seen, and claims only over that very row.
-    pub fn surely_owns(&self, now: u64) -> bool {
-        now < self.renewed + SURE
+    pub fn holds_ownership(&self, now: u64) -> bool {
+        now < self.renewed_at + SURE
     }
 
     /// A write of the owner's row that was sent at `sent` took effect, and not an earlier try of it.
-    pub fn renew(&mut self, sent: u64) {
-        self.renewed = self.renewed.max(sent);
+    pub fn renew_ownership(&mut self, sent: u64) {
+        self.renewed_at = self.renewed_at.max(sent);
     }
 
     /// An agent told something.
-    pub fn notice(&mut self, link: LinkId, notice: Notice, now: u64) {
+    pub fn on_notice(&mut self, link: LinkId, notice: Notice, now: u64) {
         let Some(name) = self.links.get(&link).cloned() else { return };
         if let Some(agent) = self.agents.get_mut(&name) {
-            agent.told = now;
+            agent.last_notice_at = now;
         }
         match notice {
             Notice::Superseded { epoch } => self.outputs.push(Output::Deposed { epoch }),
@@ -302,46 +304,46 @@
             Notice::Entry(_) => {}
         }
         if let Some(agent) = self.agents.get_mut(&name) {
-            agent.look(&self.settings, now);
+            agent.update_liveness(&self.settings, now);
         }
     }
 
     /// Time passed: takes lapsed leases for lapsed, and decides what starts.
     pub fn tick(&mut self, now: u64, wall: u64) {
         self.now = now;
-        if now >= self.looked + LOOK {
-            self.looked = now;
-            self.look_at_agents(now);
+        if now >= self.agents_checked_at + LOOK {
+            self.agents_checked_at = now;
+            self.check_agents(now);
         }
         self.reopen(now);
         self.ask_refusers(now);
-        if !self.settled && self.settled(now) {
+        if !self.settled && self.check_settled(now) {
             self.settled = true;
             self.replan = true;
-            let waited = list(self.unheard().map(str::to_owned).collect());
-            let detail = format!("{} ms; not heard: {waited}", now - self.claimed);
+            let waited = list(self.unreconciled_agents().map(str::to_owned).collect());
+            let detail = format!("{} ms; not heard: {waited}", now - self.claimed_at);
             self.log("settled", "", detail);
         }
         self.ask_for_list(now);
         self.maintain(now, wall);
         // A job whose room did not become free would stand still beside idle workers
         // until something else happens.
-        self.replan |= self.kept_until.take_if(|at| *at <= now).is_some();
-        let due = self.next_due.is_some_and(|due| due <= wall);
-        if due || self.ask_again.take_if(|at| *at <= now).is_some() {
+        self.replan |= self.reservation_ends_at.take_if(|at| *at <= now).is_some();
+        let due = self.replan_at.is_some_and(|due| due <= wall);
+        if due || self.advice_retry_at.take_if(|at| *at <= now).is_some() {
             self.replan = true;
         }
         if self.replan && !self.is_deaf(now) {
             self.replan = false;
             self.plan(now, wall);
         }
-        self.tell_waits(now, wall);
+        self.log_waits(now, wall);
     }
 
     /// Takes note of what time alone changes at agents.
-    fn look_at_agents(&mut self, now: u64) {
+    fn check_agents(&mut self, now: u64) {
         for agent in self.agents.values_mut() {
-            agent.look(&self.settings, now);
+            agent.update_liveness(&self.settings, now);
         }
         self.close_silent(now);
         self.lapse(now);
@@ -351,12 +353,12 @@
 
     /// True if the owner knows that the job has ended, recorded or not.
     pub fn has_ended(&self, id: &str) -> bool {
-        let over = || self.over.contains(id);
+        let over = || self.ended_jobs.contains(id);
         self.jobs.get(id).map_or_else(over, |entry| entry.progress.state.ended())
     }
 
     /// Number of jobs that have not ended.
-    pub fn active(&self) -> usize {
+    pub fn active_jobs(&self) -> usize {
         self.jobs.len()
     }
 
@@ -367,18 +369,18 @@
             return;
         }
         entry.progress.state = state;
-        entry.reserved.clear();
+        entry.reservations.clear();
         let keys: Vec<Key> = entry.runs.keys().copied().collect();
-        self.touch(id, true);
+        self.mark_dirty(id, true);
         for key in keys {
-            self.stop(id, key, now);
+            self.stop_run(id, key, now);
         }
-        self.tell_end(id, state);
+        self.log_job_end(id, state);
     }
 
     /// Tells how a job ended, and what its objective was by what is known of its run
     /// times now: from that line and `accepted` follows whether it was late.
-    pub(crate) fn tell_end(&mut self, id: &str, state: State) {
+    pub(crate) fn log_job_end(&mut self, id: &str, state: State) {
         let Some(entry) = self.jobs.get(id) else { return };
         let pools = self.pools();
         let guide = Guide { times: &self.times, pools: &pools };
@@ -393,7 +395,7 @@
     }
 
     /// Orders the stop of a run.
-    pub(crate) fn stop(&mut self, id: &str, key: Key, now: u64) {
+    pub(crate) fn stop_run(&mut self, id: &str, key: Key, now: u64) {
         let Some(placed) = self.jobs.get_mut(id).and_then(|entry| entry.runs.get_mut(&key)) else {
             return;
         };
@@ -401,18 +403,18 @@
             return;
         }
         placed.phase = Phase::Stopping;
-        placed.since = now;
+        placed.updated_at = now;
         let (name, worker, run) = (placed.agent.clone(), placed.worker.clone(), placed.run);
-        self.order(&name, Order::Stop { worker, task: task(id, key), run });
+        self.send_to_agent(&name, Order::Stop { worker, task: task(id, key), run });
     }
 
     /// Takes a run for gone.
-    pub(crate) fn drop_run(&mut self, id: &str, key: Key) {
+    pub(crate) fn remove_run(&mut self, id: &str, key: Key) {
         if let Some(entry) = self.jobs.get_mut(id) {
             entry.runs.remove(&key);
             self.replan = true;
             if entry.progress.state.ended() && entry.runs.is_empty() && !self.dirty.contains(id) {
-                self.touch(id, false);
+                self.mark_dirty(id, false);
             }
         }
     }
@@ -426,12 +428,12 @@
     }
 
     /// Marks a job's progress for the next record.
-    pub(crate) fn touch(&mut self, id: &str, urgent: bool) {
+    pub(crate) fn mark_dirty(&mut self, id: &str, urgent: bool) {
         self.dirty.insert(id.to_owned());
-        self.urgent |= urgent;
+        self.dirty_urgent |= urgent;
     }
 
-    pub(crate) fn order(&mut self, agent: &str, order: Order) {
+    pub(crate) fn send_to_agent(&mut self, agent: &str, order: Order) {
         if let Some(link) = self.agents.get(agent).and_then(|agent| agent.link) {
             self.send(link, order);
         }
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/pace.rs
@@ -12,12 +12,12 @@
 impl Owner {
     /// Stops runs at a worker that stand still, so that they start elsewhere,
     /// and makes the worker the last choice.
-    pub(crate) fn leave_still(&mut self, name: &str, now: u64) {
+    pub(crate) fn stop_stalled_runs(&mut self, name: &str, now: u64) {
         let mut found = Vec::new();
         for (id, entry) in &self.jobs {
             for (key, placed) in entry.runs.iter().filter(|(_, placed)| placed.agent == name) {
                 let Some(step) = entry.step(*key) else { continue };
-                let moved = entry.unit_moved(placed);
+                let moved = entry.unit_progressed_at(placed);
                 if stands_still(step, placed, moved, now) {
                     found.push((id.clone(), *key));
                 }
@@ -27,12 +27,12 @@
             return;
         }
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.doubted = agent.doubted.max(now + self.settings.doubt);
+            agent.doubted_until = agent.doubted_until.max(now + self.settings.doubt);
         }
         for (id, key) in found {
             self.log("run moved", &id, format!("{key:?} at {name} stands still"));
             for key in self.unit(&id, key) {
-                self.stop(&id, key, now);
+                self.stop_run(&id, key, now);
             }
         }
     }
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -19,9 +19,9 @@
     pub(crate) fn plan(&mut self, now: u64, wall: u64) {
         for (id, entry) in &mut self.jobs {
             if entry.job.queue.priority == 0 {
-                entry.note_begun(id);
+                entry.update_first_step_started(id);
             }
-            entry.idle = entry.runs.is_empty().then(|| entry.idle.unwrap_or(now));
+            entry.idle_since = entry.runs.is_empty().then(|| entry.idle_since.unwrap_or(now));
         }
         let mut candidates = self.candidates(wall);
         // Guaranteed work whose room is being made comes first: else what ranks before it would
@@ -33,8 +33,8 @@
             self.serve(candidate, &mut snapshot, now, wall);
         }
         // What waits for a suspect to outlive its start is decided by time alone.
-        if snapshot.fresh.values().any(|fresh| *fresh == Fresh::Suspect) {
-            self.look_again(wall + APART);
+        if snapshot.recent_starts.values().any(|fresh| *fresh == Fresh::Suspect) {
+            self.schedule_replan(wall + APART);
         }
         self.note_held_back(now, wall);
         self.tell_waited(now);
@@ -75,7 +75,7 @@
                         // One that has begun and gave way comes after those that have not: it
                         // would take the room back that was made for them.
                         let covered = entry.job.queue.priority == 0
-                            && !entry.gave_way
+                            && !entry.guarantee_preempted
                             && guarantees.cover(&entry.job.team, need);
                         let rank = Rank {
                             borrowed: !covered,
@@ -91,7 +91,7 @@
             }
         }
         drop(guarantees);
-        self.next_due = next_due;
+        self.replan_at = next_due;
         found
     }
 
@@ -99,7 +99,7 @@
     fn is_promised(&self, candidate: &Candidate) -> bool {
         let place = (candidate.occurrence, candidate.step);
         let entry = self.jobs.get(&candidate.id);
-        candidate.guaranteed() && entry.is_some_and(|entry| entry.reserved.contains_key(&place))
+        candidate.guaranteed() && entry.is_some_and(|entry| entry.reservations.contains_key(&place))
     }
 
     /// What the workers of each pool have in all.
@@ -116,33 +116,33 @@
     ///
     /// A former owner that does not know that it was replaced grants on while
     /// it speaks to most agents, and misses them soon after most follow this owner.
-    pub(crate) fn settled(&mut self, now: u64) -> bool {
-        let heard = self.agents.values().filter(|agent| agent.heard).count();
-        if self.followed.is_none() && heard * 2 >= self.agents.len() {
-            self.followed = Some(now);
+    pub(crate) fn check_settled(&mut self, now: u64) -> bool {
+        let heard = self.agents.values().filter(|agent| agent.reconciled).count();
+        if self.majority_since.is_none() && heard * 2 >= self.agents.len() {
+            self.majority_since = Some(now);
         }
-        let (last, lease) = self.former_grants();
-        self.agents.values().all(|agent| agent.clear(last, lease, now))
+        let (last, lease) = self.predecessor_grants();
+        self.agents.values().all(|agent| agent.is_clear_of_predecessors(last, lease, now))
     }
 
     /// When a former owner granted its last lease at the latest, and how long
     /// that holds.
-    pub(crate) fn former_grants(&self) -> (u64, u64) {
-        let last = match self.followed {
-            None => self.claimed + self.settings.autonomy,
-            Some(_) if self.former_gone => self.claimed,
+    pub(crate) fn predecessor_grants(&self) -> (u64, u64) {
+        let last = match self.majority_since {
+            None => self.claimed_at + self.settings.autonomy,
+            Some(_) if self.predecessor_ended => self.claimed_at,
             // It grants to all until the table has not confirmed it for a while, and then
             // for as long as it takes to miss the agents that follow this owner now.
             Some(since) => {
-                (since + self.settings.fresh).max(self.claimed + self.settings.unconfirmed)
+                (since + self.settings.fresh).max(self.claimed_at + self.settings.unconfirmed)
             }
         };
         (last, self.settings.lease + self.settings.margin)
     }
 
     /// Agents whose workers may still run what a former owner started.
-    pub(crate) fn unheard(&self) -> impl Iterator<Item = &str> {
-        self.agents.iter().filter(|(_, agent)| !agent.heard).map(|(name, _)| name.as_str())
+    pub(crate) fn unreconciled_agents(&self) -> impl Iterator<Item = &str> {
+        self.agents.iter().filter(|(_, agent)| !agent.reconciled).map(|(name, _)| name.as_str())
     }
 
     /// Accelerators that each team's jobs of priority 0 hold.
@@ -161,18 +161,18 @@
     fn serve(&mut self, candidate: &Candidate, snapshot: &mut Snapshot, now: u64, wall: u64) {
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let place = (candidate.occurrence, candidate.step);
-        if let Some(reservation) = entry.reserved.get(&place).cloned() {
+        if let Some(reservation) = entry.reservations.get(&place).cloned() {
             if self.redeem(candidate, &reservation, snapshot, now) {
-                self.note_reserved(candidate, now);
+                self.record_reserved_wait(candidate, now);
                 return;
             }
             if let Some(entry) = self.jobs.get_mut(&candidate.id) {
-                entry.reserved.remove(&place);
+                entry.reservations.remove(&place);
             }
         }
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let Some(step) = entry.job.steps.get(candidate.step as usize).cloned() else { return };
-        let pool = self.pool(entry);
+        let pool = self.pool_of(entry);
         let barred = Barred {
             uncleared: self.uncleared(candidate, snapshot, now),
             avoided: self.avoided(candidate, snapshot, now),
@@ -182,24 +182,24 @@
         let spared = match candidate.suspect {
             true => self.try_suspect(candidate, (&step, &pool), (snapshot, &places), (now, wall)),
             false => {
-                self.place_on_rest(candidate, (&step, &pool), (snapshot, &places), (now, wall))
+                self.place_elsewhere(candidate, (&step, &pool), (snapshot, &places), (now, wall))
             }
         };
-        if self.unplaced(candidate) == 0 {
+        if self.unplaced_tasks(candidate) == 0 {
             return;
         }
         if !barred.apart.is_empty() {
-            self.look_again(wall + APART);
+            self.schedule_replan(wall + APART);
         }
         if !barred.uncleared.is_empty() {
             self.ask(candidate, roomiest(&barred.uncleared, snapshot, &pool, &step.label), now);
         }
         let bars = snapshot.bars(&spared, &barred);
-        self.note_wait(candidate, snapshot, &bars, now);
+        self.record_wait(candidate, snapshot, &bars, now);
     }
 
     /// Starts what it can of one candidate on the workers at other places than these.
-    pub(crate) fn place_on_rest(
+    pub(crate) fn place_elsewhere(
         &mut self,
         candidate: &Candidate,
         (step, pool): (&Step, &str),
@@ -213,7 +213,7 @@
     }
 
     /// Tasks of it that have no place yet.
-    pub(crate) fn unplaced(&self, candidate: &Candidate) -> usize {
+    pub(crate) fn unplaced_tasks(&self, candidate: &Candidate) -> usize {
         let Some(entry) = self.jobs.get(&candidate.id) else { return 0 };
         let key = |index: u32| (candidate.occurrence, candidate.step, index);
         candidate.tasks.iter().filter(|&&index| !entry.runs.contains_key(&key(index))).count()
@@ -258,12 +258,12 @@
             // Time alone gives it places that it leaves to others now.
             let patience = Some(begin + PATIENCE).filter(|_| patient);
             for at in [waits_until, patience].into_iter().flatten() {
-                self.look_again(at);
+                self.schedule_replan(at);
             }
         }
         let pairs: Vec<(u32, usize)> =
             candidate.tasks.iter().copied().zip(choices.iter().copied()).collect();
-        self.start(candidate, step, &pairs, snapshot, now);
+        self.start_tasks(candidate, step, &pairs, snapshot, now);
         // Nobody gives way to what may crash the worker that is cleared for it.
         let takes = candidate.rank.takes_room() && !candidate.suspect;
         if takes && started < candidate.tasks.len() {
@@ -286,7 +286,7 @@
         (now, wall): (u64, u64),
     ) -> Option<u64> {
         let until = candidate.rank.waits_until().filter(|&until| until > wall)?;
-        let idle = self.jobs.get(&candidate.id).and_then(|entry| entry.idle);
+        let idle = self.jobs.get(&candidate.id).and_then(|entry| entry.idle_since);
         match idle.filter(|_| half_free) {
             Some(since) if now >= since + IDLE => None,
             Some(since) => Some(until.min(wall + since + IDLE - now)),
@@ -295,18 +295,18 @@
     }
 
     /// Sees to it that the next round is no later than this time of day.
-    pub(crate) fn look_again(&mut self, at: u64) {
-        self.next_due = Some(self.next_due.map_or(at, |due| due.min(at)));
+    pub(crate) fn schedule_replan(&mut self, at: u64) {
+        self.replan_at = Some(self.replan_at.map_or(at, |due| due.min(at)));
     }
 
     /// The pool that runs a job now: a configuration may have moved its queue.
-    pub(crate) fn pool(&self, entry: &Entry) -> String {
+    pub(crate) fn pool_of(&self, entry: &Entry) -> String {
         let queue = self.config.queues.get(&entry.job.queue.name);
         queue.unwrap_or(&entry.job.queue).pool.clone()
     }
 
     /// Orders the start of tasks on the chosen workers.
-    pub(crate) fn start(
+    pub(crate) fn start_tasks(
         &mut self,
         candidate: &Candidate,
         step: &Step,
@@ -319,10 +319,10 @@
         for &(index, place) in pairs {
             let spot = &mut snapshot.spots[place];
             spot.free.take(&need);
-            snapshot.actual[place].take(&need);
+            snapshot.actual_free[place].take(&need);
             let name = spot.name.clone();
             let fresh = if candidate.suspect { Fresh::Suspect } else { Fresh::Any };
-            fresh.note(&mut snapshot.fresh, place);
+            fresh.note(&mut snapshot.recent_starts, place);
             let Some(worker) = self.agents.get(&name).and_then(|agent| agent.worker.as_ref())
             else {
                 continue;
@@ -333,9 +333,9 @@
             self.next_unit = self.next_unit.max(unit) + 1;
             let first = pairs.first().is_some_and(|pair| pair.0 == index);
             let Some(entry) = self.jobs.get_mut(&candidate.id) else { return };
-            let slot = entry.key(key);
+            let slot = entry.slot(key);
             let base = (self.epoch - 1) * RUNS_PER_EPOCH;
-            let number = entry.numbers.entry(slot).or_insert(base);
+            let number = entry.run_numbers.entry(slot).or_insert(base);
             *number = (*number).max(base);
             if first || !step.gang {
                 *number += 1;
@@ -349,22 +349,22 @@
                 worker: worker.clone(),
                 run,
                 phase: Phase::Starting,
-                since: now,
-                began: now,
+                updated_at: now,
+                started_at: now,
                 unit,
                 percent: 0,
-                confirmed: None,
-                moved: now,
+                confirmed_at: None,
+                progressed_at: now,
                 pace: 100,
-                whole: saved.is_empty(),
-                listed: None,
-                outlived: false,
-                yields_to: None,
+                from_scratch: saved.is_empty(),
+                first_listed_at: None,
+                survived_start: false,
+                preempted_by: None,
             };
             entry.runs.insert(key, placed);
             let task = task(&candidate.id, key);
             self.log("start", &candidate.id, format!("{task} run {run} at {name}"));
-            self.order(
+            self.send_to_agent(
                 &name,
                 Order::Start { worker, task, run, spec, saved, ticket, again: false },
             );
@@ -388,7 +388,7 @@
     let progress = &entry.progress;
     if progress.step_done(occurrence, number, step)
         || !progress.ready(&entry.job, occurrence, step)
-        || (step.gang && entry.placed(occurrence, number))
+        || (step.gang && entry.has_runs(occurrence, number))
     {
         return Vec::new();
     }
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -23,13 +23,13 @@
 impl Owner {
     /// What is to be recorded now; none if a record is under way.
     pub fn record(&mut self) -> Option<Batch> {
-        if self.recording {
+        if self.record_in_flight {
             return None;
         }
         let ids: Vec<Id> = self.dirty.iter().take(BATCH).cloned().collect();
         let mut batch =
-            Batch { times: self.learned.then(|| self.times.clone()), ..Batch::default() };
-        self.learned = false;
+            Batch { times: self.times_changed.then(|| self.times.clone()), ..Batch::default() };
+        self.times_changed = false;
         for id in ids {
             self.dirty.remove(&id);
             if let Some(entry) = self.jobs.get(&id) {
@@ -37,18 +37,20 @@
             }
         }
         if self.dirty.is_empty() {
-            for (name, agent) in self.agents.iter().filter(|(_, agent)| agent.noted > agent.seen) {
+            for (name, agent) in
+                self.agents.iter().filter(|(_, agent)| agent.last_end > agent.acknowledged_end)
+            {
                 let Some(worker) = &agent.worker else { continue };
-                let (agent, worker, number) = (name.clone(), worker.incarnation(), agent.noted);
+                let (agent, worker, number) = (name.clone(), worker.incarnation(), agent.last_end);
                 batch.seen.push(Seen { agent, worker, number });
             }
-            self.urgent = false;
+            self.dirty_urgent = false;
         }
         batch.gone = self.gone().into_iter().take(GONE).collect();
         self.begin_dismissal(&batch.gone, true);
         batch.saved = self.unsaved();
         batch.waves = self.new_waves();
-        self.recording = true;
+        self.record_in_flight = true;
         Some(batch)
     }
 
@@ -56,13 +58,15 @@
     /// with what is written anyway.
     fn unsaved(&mut self) -> Vec<(Id, Saved)> {
         let (now, keep) = (self.now, self.settings.keep);
-        let due = |entry: &&mut Entry| entry.unsaved && now >= entry.kept + keep;
+        let due = |entry: &&mut Entry| {
+            entry.checkpoints_dirty && now >= entry.checkpoints_recorded_at + keep
+        };
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter_mut() {
             if found.len() < SAVED && due(&entry) {
-                entry.unsaved = false;
-                entry.kept = now;
-                found.push((id.clone(), entry.checkpoints(id)));
+                entry.checkpoints_dirty = false;
+                entry.checkpoints_recorded_at = now;
+                found.push((id.clone(), entry.open_checkpoints(id)));
             }
         }
         found
@@ -77,8 +81,8 @@
     fn gone(&self) -> Vec<String> {
         let bound = self.settings.lease + self.settings.margin + self.settings.absence;
         let gone = |agent: &Agent| {
-            let absent = agent.absent.is_some_and(|since| self.now >= since + bound);
-            self.settled && (agent.left || absent)
+            let absent = agent.absent_since.is_some_and(|since| self.now >= since + bound);
+            self.settled && (agent.worker_left || absent)
         };
         let runs: BTreeSet<&str> = self
             .jobs
@@ -92,31 +96,32 @@
 
     /// True if callers wait for what is to be recorded.
     pub fn urgent(&self) -> bool {
-        self.urgent
+        self.dirty_urgent
     }
 
     /// True if something is to be recorded.
     pub fn unrecorded(&self) -> bool {
-        !self.dirty.is_empty() || self.agents.values().any(|agent| agent.noted > agent.seen)
+        !self.dirty.is_empty()
+            || self.agents.values().any(|agent| agent.last_end > agent.acknowledged_end)
     }
 
     /// A batch was recorded, or was not.
     pub fn recorded(&mut self, batch: &Batch, done: bool) {
-        self.recording = false;
+        self.record_in_flight = false;
         if !done {
             self.begin_dismissal(&batch.gone, false);
             for (id, _) in &batch.jobs {
                 self.dirty.insert(id.clone());
             }
-            self.urgent = true;
-            self.learned |= batch.times.is_some();
+            self.dirty_urgent = true;
+            self.times_changed |= batch.times.is_some();
             for (number, _) in &batch.waves {
                 self.unrecord(*number);
             }
             for (id, _) in &batch.saved {
                 if let Some(entry) = self.jobs.get_mut(id) {
-                    entry.unsaved = true;
-                    entry.kept = 0;
+                    entry.checkpoints_dirty = true;
+                    entry.checkpoints_recorded_at = 0;
                 }
             }
             return;
@@ -126,7 +131,7 @@
         }
         for name in &batch.gone {
             // One that has announced itself since then is a member again.
-            if self.agents.get(name).is_some_and(|agent| agent.dropping) {
+            if self.agents.get(name).is_some_and(|agent| agent.removal_pending) {
                 self.dismiss(name);
             }
         }
@@ -142,7 +147,7 @@
     fn forget(&mut self, seen: &Seen) {
         let Some(agent) = self.agents.get_mut(&seen.agent) else { return };
         if agent.worker.as_ref().is_some_and(|worker| worker.is(&seen.worker)) {
-            agent.seen = agent.seen.max(seen.number);
+            agent.acknowledged_end = agent.acknowledged_end.max(seen.number);
             if let Some(link) = agent.link {
                 let (worker, number) = (seen.worker.clone(), seen.number);
                 self.send(link, Order::Seen { worker, number });
--- a/crates/dispatch/src/refusals.rs
+++ b/crates/dispatch/src/refusals.rs
@@ -32,7 +32,7 @@
     pub(crate) fn refused(&mut self, name: &str, now: u64) {
         let last = now + self.settings.doubt / 10;
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.doubted = agent.doubted.max(last);
+            agent.doubted_until = agent.doubted_until.max(last);
             agent.refusals.note(now);
         }
     }
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -25,7 +25,7 @@
         let Some(worker) = worker else {
             agent.worker = None;
             agent.fenced = false;
-            agent.unknown.get_or_insert(now);
+            agent.no_worker_since.get_or_insert(now);
             return;
         };
         let from = worker.incarnation();
@@ -33,31 +33,31 @@
         let reborn = other && agent.worker.is_some();
         if other {
             // A list that was asked for before this incarnation began cannot name it.
-            agent.missed = None;
-            agent.noted = 0;
-            agent.seen = 0;
-            agent.failures = 0;
-            agent.doubted = 0;
+            agent.unresponsive_since = None;
+            agent.last_end = 0;
+            agent.acknowledged_end = 0;
+            agent.consecutive_failures = 0;
+            agent.doubted_until = 0;
             agent.blame.clear();
             agent.refusals = Refusals::default();
-            agent.doomed = false;
+            agent.shutdown_requested = false;
         }
         if reborn {
-            agent.silent = 0;
+            agent.silent_ms = 0;
         }
         let changed = agent.worker.as_ref().is_some_and(|known| known.fits_others(&worker));
-        agent.evacuated = self.evacuated.covers(&worker.zone);
+        agent.zone_evacuated = self.evacuated.covers(&worker.zone);
         // A status may repeat what the worker reported once; it counts from the first.
         if agent.worker.as_ref().is_none_or(|known| known.cold != worker.cold) || other {
-            agent.warm = now + worker.cold;
+            agent.cold_until = now + worker.cold;
         }
         let first = fenced && !agent.fenced;
-        agent.unknown = None;
-        agent.left = false;
+        agent.no_worker_since = None;
+        agent.worker_left = false;
         agent.worker = Some(worker);
         agent.fenced = fenced;
-        agent.heard |= fenced;
-        agent.listed = running.iter().map(|run| (run.task.clone(), run.number)).collect();
+        agent.reconciled |= fenced;
+        agent.listed_runs = running.iter().map(|run| (run.task.clone(), run.number)).collect();
         self.replan |= !std::mem::take(&mut agent.strays).is_empty();
         // A worker that broke its connections takes work again once it answers.
         let broke = fenced && agent.crash.is_some();
@@ -77,7 +77,7 @@
             self.clear_suspects(name, &from, running, stamp);
             self.throttle(name, running);
             self.missing(name, running, now);
-            self.leave_still(name, now);
+            self.stop_stalled_runs(name, now);
         }
         if first {
             self.resume(name, &from, now);
@@ -94,15 +94,15 @@
         for (job, key) in former {
             let entry = self.jobs.get_mut(&job);
             let Some(placed) = entry.and_then(|entry| entry.runs.get_mut(&key)) else { continue };
-            if placed.worker.id == from.id && placed.listed.is_none() {
+            if placed.worker.id == from.id && placed.first_listed_at.is_none() {
                 placed.worker = from.clone();
                 placed.phase = Phase::Running;
                 self.log("run doubted", &job, format!("{key:?}: worker at {name} started anew"));
-                self.stop(&job, key, now);
+                self.stop_run(&job, key, now);
                 continue;
             }
             self.log("run lost", &job, format!("{key:?}: worker at {name} started anew"));
-            self.drop_run(&job, key);
+            self.remove_run(&job, key);
         }
     }
 
@@ -117,27 +117,27 @@
     /// An incarnation of a worker is over, and all that ran there.
     pub(crate) fn over(&mut self, name: &str, from: &Incarnation, how: &str) {
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.heard = true;
-            agent.left = true;
+            agent.reconciled = true;
+            agent.worker_left = true;
         }
         let gone = self.runs_where(|placed| placed.agent == name && placed.worker == *from);
         for (job, key) in gone {
             self.log("run lost", &job, format!("{key:?}: worker at {name} {how}"));
-            self.drop_run(&job, key);
+            self.remove_run(&job, key);
         }
     }
 
     /// After a new connection, orders that may have been lost with the former
     /// one are given again. Both are idempotent.
     fn resume(&mut self, name: &str, from: &Incarnation, now: u64) {
-        let evacuated = self.agents.get(name).is_some_and(|agent| agent.evacuated);
+        let evacuated = self.agents.get(name).is_some_and(|agent| agent.zone_evacuated);
         for (job, key) in self.runs_where(|placed| placed.agent == name && placed.worker == *from) {
             let Some(entry) = self.jobs.get(&job) else { continue };
             let Some(placed) = entry.runs.get(&key) else { continue };
             if placed.phase == Phase::Starting && evacuated {
                 // The worker has answered and does not list it: what may be on its way yet
                 // must not begin any more.
-                self.stop(&job, key, now);
+                self.stop_run(&job, key, now);
                 self.stop_mates(&job, key, now);
                 continue;
             }
@@ -147,13 +147,13 @@
                 Phase::Stopping => Order::Stop { worker, task: task(&job, key), run },
                 Phase::Starting => {
                     let spec = entry.job.spec.clone();
-                    let saved = entry.saved.get(&entry.key(key)).cloned().unwrap_or_default();
+                    let saved = entry.saved.get(&entry.slot(key)).cloned().unwrap_or_default();
                     let ticket = entry.ticket(key, from, now).unwrap_or_default().to_owned();
                     let task = task(&job, key);
                     Order::Start { worker, task, run, spec, saved, ticket, again: true }
                 }
             };
-            self.order(name, order);
+            self.send_to_agent(name, order);
         }
     }
 
@@ -163,7 +163,7 @@
         let Some(entry) = self.jobs.get_mut(&run.task.job) else {
             return self.stop_stray(name, from, &run.task, run.number, now);
         };
-        let slot = entry.key(key);
+        let slot = entry.slot(key);
         // A former owner started the later run only when the earlier one was gone, and the
         // agent of a worker that is gone still lists what ran there: without this the run
         // that goes on would be stopped as a remnant, and its task start beside it.
@@ -176,16 +176,16 @@
         let Some(entry) = self.jobs.get_mut(&run.task.job) else { return };
         match entry.runs.get_mut(&key) {
             Some(placed) if placed.worker == *from && placed.run == run.number => {
-                placed.since = now;
-                placed.confirmed.get_or_insert(now);
+                placed.updated_at = now;
+                placed.confirmed_at.get_or_insert(now);
                 if placed.percent != run.percent {
-                    placed.moved = now;
+                    placed.progressed_at = now;
                 }
                 placed.percent = run.percent;
                 if placed.phase == Phase::Starting {
                     placed.phase = Phase::Running;
                 }
-                entry.save(slot, &run.saved);
+                entry.update_checkpoint(slot, &run.saved);
             }
             // A later run of the task exists, or it is done: this one is a
             // remnant that nobody waits for.
@@ -202,28 +202,28 @@
                     worker: from.clone(),
                     run: run.number,
                     phase: Phase::Running,
-                    since: now,
-                    began: now,
-                    confirmed: Some(now),
+                    updated_at: now,
+                    started_at: now,
+                    confirmed_at: Some(now),
                     unit,
                     percent: run.percent,
-                    moved: now,
+                    progressed_at: now,
                     pace: 100,
-                    whole: false,
-                    listed: None,
-                    outlived: false,
-                    yields_to: None,
+                    from_scratch: false,
+                    first_listed_at: None,
+                    survived_start: false,
+                    preempted_by: None,
                 };
                 let unit = entry.runs.range((key.0, key.1, 0)..=(key.0, key.1, u32::MAX));
                 let gang = entry.job.steps.get(key.1 as usize).is_some_and(|step| step.gang);
                 let unit = unit.map(|(_, other)| other.unit).next().filter(|_| gang);
                 let placed = Placement { unit: unit.unwrap_or(placed.unit), ..placed };
                 entry.runs.insert(key, placed);
-                entry.numbers.insert(slot, run.number);
-                entry.save(slot, &run.saved);
+                entry.run_numbers.insert(slot, run.number);
+                entry.update_checkpoint(slot, &run.saved);
                 if entry.progress.state == State::Queued {
                     entry.progress.state = State::Running;
-                    self.touch(&run.task.job, false);
+                    self.mark_dirty(&run.task.job, false);
                 }
                 self.log("run adopted", &run.task.job, format!("{key:?} at {name}"));
             }
@@ -237,13 +237,13 @@
             agent.strays.push(task.clone());
         }
         let bound = self.settings.reservation;
-        self.strays.retain(|_, since| now < *since + bound);
-        if self.strays.contains_key(&(task.clone(), run)) {
+        self.stray_stops.retain(|_, since| now < *since + bound);
+        if self.stray_stops.contains_key(&(task.clone(), run)) {
             return;
         }
-        self.strays.insert((task.clone(), run), now);
+        self.stray_stops.insert((task.clone(), run), now);
         self.log("stray run stopped", &task.job, format!("{task} run {run} at {name}"));
-        self.order(name, Order::Stop { worker: from.clone(), task: task.clone(), run });
+        self.send_to_agent(name, Order::Stop { worker: from.clone(), task: task.clone(), run });
     }
 
     /// Runs that the worker should list and does not.
@@ -251,18 +251,20 @@
         let bound = self.settings.missing;
         let Some(agent) = self.agents.get_mut(name) else { return };
         // All runs are gone through for it, and a report comes with each end.
-        if now < agent.checked + bound / 10 {
+        if now < agent.missing_checked_at + bound / 10 {
             return;
         }
-        agent.checked = now;
+        agent.missing_checked_at = now;
         let old = self.runs_where(|placed| {
-            placed.agent == name && placed.phase != Phase::Starting && now >= placed.since + bound
+            placed.agent == name
+                && placed.phase != Phase::Starting
+                && now >= placed.updated_at + bound
         });
         for (job, key) in old {
             let listed = running.iter().any(|run| run.task == task(&job, key));
             if !listed {
                 self.log("run missing", &job, format!("{key:?} at {name}"));
-                self.drop_run(&job, key);
+                self.remove_run(&job, key);
             }
         }
     }
@@ -270,23 +272,23 @@
     /// A worker lists an end.
     fn ended(&mut self, name: &str, from: &Incarnation, end: &End, now: u64) {
         let Some(agent) = self.agents.get_mut(name) else { return };
-        if end.number <= agent.noted {
+        if end.number <= agent.last_end {
             return self.pass_over(name, from, end);
         }
-        agent.noted = end.number;
+        agent.last_end = end.number;
         let key = key(&end.task);
         let job = end.task.job.clone();
         let Some(entry) = self.jobs.get_mut(&job) else { return };
-        let slot = entry.key(key);
+        let slot = entry.slot(key);
         let known = entry.runs.get(&key);
         let vacant = known.is_none();
         let current = known.is_some_and(|placed| placed.worker == *from && placed.run == end.run);
         let run = current.then(|| entry.runs.remove(&key)).flatten();
         self.replan |= current;
         if current || vacant {
-            entry.save(slot, &end.saved);
+            entry.update_checkpoint(slot, &end.saved);
         }
-        let spent = run.as_ref().map(|run| run.spent(now)).unwrap_or_default();
+        let spent = run.as_ref().map(|run| run.timing_detail(now)).unwrap_or_default();
         self.log(
             "run ended",
             &job,
@@ -325,24 +327,24 @@
     fn learn(&mut self, task: &Task, run: &Placement, now: u64) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let estimate = entry.step(key(task)).map_or(0, |step| step.estimate);
-        if !run.whole || estimate == 0 {
+        if !run.from_scratch || estimate == 0 {
             return;
         }
-        let took = now.saturating_sub(run.began);
-        let known = entry.took.get(&task.step).copied();
-        entry.took.insert(task.step, took.max(known.unwrap_or(0)));
+        let took = now.saturating_sub(run.started_at);
+        let known = entry.step_durations.get(&task.step).copied();
+        entry.step_durations.insert(task.step, took.max(known.unwrap_or(0)));
         if known.is_some() {
             return;
         }
         self.times.learn(&entry.job.queue.name, estimate, took);
-        self.learned = true;
+        self.times_changed = true;
     }
 
     /// A task is done, and with it its whole gang.
     fn done(&mut self, name: &str, task: &Task, now: u64) {
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.failures = 0;
-            agent.doubted = 0;
+            agent.consecutive_failures = 0;
+            agent.doubted_until = 0;
             agent.blame.clear();
         }
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
@@ -356,12 +358,12 @@
         // A copy of a task that is done must not go on.
         let other = entry.runs.contains_key(&key(task));
         let gang = step_is_gang(entry.job.steps.get(task.step as usize));
-        self.touch(&task.job, ended);
+        self.mark_dirty(&task.job, ended);
         if other && !gang {
-            self.stop(&task.job, key(task), now);
+            self.stop_run(&task.job, key(task), now);
         }
         if ended {
-            self.tell_end(&task.job, State::Succeeded);
+            self.log_job_end(&task.job, State::Succeeded);
         }
     }
 
@@ -369,8 +371,8 @@
     fn failed(&mut self, name: &str, task: &Task, run: u64, now: u64) {
         let doubt = self.settings.doubt;
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.failures += 1;
-            agent.doubted = now + doubt * u64::from(agent.failures.min(3));
+            agent.consecutive_failures += 1;
+            agent.doubted_until = now + doubt * u64::from(agent.consecutive_failures.min(3));
         }
         self.blame(name, task, now);
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
@@ -380,7 +382,7 @@
         }
         let failures = entry.progress.fail(&entry.job, task, run);
         let last = failures >= entry.job.queue.attempts;
-        self.touch(&task.job, last);
+        self.mark_dirty(&task.job, last);
         if last {
             self.end_job(&task.job, State::Failed, now);
         }
@@ -390,7 +392,8 @@
     fn settle(&mut self, id: &str) {
         let over =
             |entry: &crate::entry::Entry| entry.progress.state.ended() && entry.runs.is_empty();
-        if self.jobs.get(id).is_some_and(over) && !self.dirty.contains(id) && !self.recording {
+        if self.jobs.get(id).is_some_and(over) && !self.dirty.contains(id) && !self.record_in_flight
+        {
             self.close_job(id);
         }
     }
@@ -402,8 +405,8 @@
         if placed.run != run {
             return;
         }
-        placed.since = now;
-        placed.confirmed.get_or_insert(now);
+        placed.updated_at = now;
+        placed.confirmed_at.get_or_insert(now);
         if placed.phase == Phase::Starting {
             placed.phase = Phase::Running;
         }
@@ -414,7 +417,7 @@
         }
         if entry.progress.state == State::Queued {
             entry.progress.state = State::Running;
-            self.touch(&task.job, false);
+            self.mark_dirty(&task.job, false);
         }
     }
 
@@ -453,7 +456,7 @@
         let range = (key.0, key.1, 0)..=(key.0, key.1, u32::MAX);
         let members: Vec<Key> = entry.runs.range(range).map(|(key, _)| *key).collect();
         for member in members {
-            self.stop(id, member, now);
+            self.stop_run(id, member, now);
         }
     }
 
@@ -463,11 +466,11 @@
         let Some(entry) = self.jobs.get(&task.job) else { return };
         let Some(placed) = entry.runs.get(&key(task)) else { return };
         let listed = self.agents.get(&placed.agent).is_some_and(|agent| {
-            agent.listed.iter().any(|(known, number)| known == task && *number == run)
+            agent.listed_runs.iter().any(|(known, number)| known == task && *number == run)
         });
         if placed.run == run && !listed && placed.phase == Phase::Stopping {
             let id = task.job.clone();
-            self.drop_run(&id, key(task));
+            self.remove_run(&id, key(task));
         }
     }
 }
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -36,12 +36,12 @@
             let key = (candidate.occurrence, candidate.step, 0);
             entry.job.queue.advice.is_none() || entry.ticket(key, worker, now).is_some()
         };
-        let until = reservation.since + self.settings.reservation;
+        let until = reservation.made_at + self.settings.reservation;
         // A worker that is left alone for a moment after a refusal keeps its promise; taken
         // for void, work at another one would be stopped as well.
         let paused =
             |name: &String| self.agents.get(name).is_some_and(|agent| agent.refusals.until > 0);
-        let trial = |place: &usize| snapshot.fresh.get(place) == Some(&Fresh::Suspect);
+        let trial = |place: &usize| snapshot.recent_starts.get(place) == Some(&Fresh::Suspect);
         if now < until && (reservation.agents.iter().any(paused) || places.iter().any(trial)) {
             self.keep_until(until);
             return true;
@@ -52,7 +52,7 @@
             return false;
         }
         let need = step.charge();
-        let mut actual = snapshot.actual.clone();
+        let mut actual = snapshot.actual_free.clone();
         let whole = places.iter().all(|&place| {
             let fits = need.fits(&actual[place]);
             actual[place].take(&need);
@@ -73,16 +73,17 @@
             return promised;
         }
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
-            entry.reserved.remove(&(candidate.occurrence, candidate.step));
+            entry.reservations.remove(&(candidate.occurrence, candidate.step));
         }
         let pairs: Vec<(u32, usize)> = candidate.tasks.iter().copied().zip(places).collect();
-        self.start(candidate, &step, &pairs, snapshot, now);
+        self.start_tasks(candidate, &step, &pairs, snapshot, now);
         true
     }
 
     /// Sees to it that the next round is no later than the end of a reservation.
     fn keep_until(&mut self, until: u64) {
-        self.kept_until = Some(self.kept_until.map_or(until, |known| known.min(until)));
+        self.reservation_ends_at =
+            Some(self.reservation_ends_at.map_or(until, |known| known.min(until)));
     }
 
     /// Stops work that gives way, and keeps its room.
@@ -108,13 +109,13 @@
         let last = last_call(begin, self.settings.reclaim, self.settings.stop);
         let claim = reclaim(&snapshot.spots, &ask).or_else(|| {
             let others = Ask { over: Hold::Guaranteed, sure: false, ..ask };
-            let pressing = due && wall >= last && !entry.begun;
+            let pressing = due && wall >= last && !entry.first_step_started;
             pressing.then(|| reclaim(&snapshot.spots, &others)).flatten()
         });
         let Some(claim) = claim else {
             if guaranteed {
                 let next = [promised, last].into_iter().find(|at| *at > wall);
-                next.into_iter().for_each(|at| self.look_again(at));
+                next.into_iter().for_each(|at| self.schedule_replan(at));
             }
             return;
         };
@@ -137,10 +138,10 @@
         }
         let agents =
             claim.choices.iter().map(|&place| snapshot.spots[place].name.clone()).collect();
-        let reservation = Reservation { agents, since: now };
+        let reservation = Reservation { agents, made_at: now };
         self.keep_until(now + self.settings.reservation);
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
-            entry.reserved.insert((candidate.occurrence, candidate.step), reservation);
+            entry.reservations.insert((candidate.occurrence, candidate.step), reservation);
         }
         let kind = if guaranteed { "guaranteed" } else { "borrowed" };
         let (units, loss, work) = (claim.units.len(), claim.loss / 1000, candidate.work / 1000);
@@ -148,11 +149,11 @@
         self.log("room reclaimed", &candidate.id, detail);
         for unit in claim.units {
             for (id, key) in snapshot.units.get(&unit).cloned().unwrap_or_default() {
-                self.stop(&id, key, now);
+                self.stop_run(&id, key, now);
                 let Some(entry) = self.jobs.get_mut(&id) else { continue };
-                entry.gave_way |= firm.contains(&unit);
+                entry.guarantee_preempted |= firm.contains(&unit);
                 if let Some(placed) = entry.runs.get_mut(&key) {
-                    placed.yields_to = Some(candidate.id.clone());
+                    placed.preempted_by = Some(candidate.id.clone());
                 }
             }
         }
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -20,7 +20,7 @@
 
 impl Owner {
     /// How many steps have waited for long, by cause.
-    pub fn waiting(&self) -> BTreeMap<Cause, usize> {
+    pub fn long_waits(&self) -> BTreeMap<Cause, usize> {
         let mut counts = BTreeMap::new();
         let long = self.waits.long(self.now).filter(|(group, _)| is_open(&self.jobs, &group.0));
         long.for_each(|(_, cause)| *counts.entry(cause).or_default() += 1);
@@ -29,28 +29,28 @@
 
     /// Takes note of a step that waits for room that is being made, if it does.
     /// False if no room is.
-    pub(crate) fn note_reserved(&mut self, candidate: &Candidate, now: u64) -> bool {
+    pub(crate) fn record_reserved_wait(&mut self, candidate: &Candidate, now: u64) -> bool {
         let place = (candidate.occurrence, candidate.step);
-        let reserved = |entry: &Entry| entry.reserved.contains_key(&place);
+        let reserved = |entry: &Entry| entry.reservations.contains_key(&place);
         if !self.jobs.get(&candidate.id).is_some_and(reserved) {
             return false;
         }
-        let wait = (self.unplaced(candidate), Cause::Reserved);
+        let wait = (self.unplaced_tasks(candidate), Cause::Reserved);
         self.waits.note(group(candidate), wait, (0, 0), now);
         true
     }
 
     /// Takes note of what keeps tasks of a candidate from starting, if any still
     /// wait. `bars` are those of the snapshot's workers.
-    pub(crate) fn note_wait(
+    pub(crate) fn record_wait(
         &mut self,
         candidate: &Candidate,
         snapshot: &Snapshot,
         bars: &[Bar],
         now: u64,
     ) {
-        let left = self.unplaced(candidate);
-        if left == 0 || self.note_reserved(candidate, now) {
+        let left = self.unplaced_tasks(candidate);
+        if left == 0 || self.record_reserved_wait(candidate, now) {
             return;
         }
         let group = group(candidate);
@@ -71,8 +71,8 @@
     ) -> Option<(Cause, (u64, u64))> {
         let entry = self.jobs.get(id)?;
         let step = entry.job.steps.get(*number as usize)?;
-        let pool = &self.pool(entry);
-        let held = match entry.placed(*occurrence, *number) {
+        let pool = &self.pool_of(entry);
+        let held = match entry.has_runs(*occurrence, *number) {
             true => &held(entry, (*occurrence, *number), spots)[..],
             false => &[],
         };
@@ -99,7 +99,7 @@
     pub(crate) fn tell_waited(&mut self, now: u64) {
         for (group, wait) in self.waits.end(now) {
             let (id, occurrence, step) = &group;
-            let begun = |entry: &Entry| entry.placed(*occurrence, *step);
+            let begun = |entry: &Entry| entry.has_runs(*occurrence, *step);
             if !self.jobs.get(id).is_some_and(begun) {
                 continue;
             }
@@ -111,7 +111,7 @@
     }
 
     /// Writes the lines that are due.
-    pub(crate) fn tell_waits(&mut self, now: u64, wall: u64) {
+    pub(crate) fn log_waits(&mut self, now: u64, wall: u64) {
         self.tell_unsettled(now, wall);
         self.review_waits(now);
         if !self.waits.is_due(now) {
@@ -178,7 +178,7 @@
             known.filter(|agent| agent.worker.as_ref().is_some_and(|w| w.pool == ask.pool))
         };
         let labelled = |worker: &&Worker| label.is_empty() || worker.labels.contains(label);
-        let shut = pool().filter(|agent| !agent.open(&self.settings, self.now));
+        let shut = pool().filter(|agent| !agent.accepts_runs(&self.settings, self.now));
         let shut = shut.filter_map(|agent| agent.worker.as_ref()).filter(labelled);
         let more = shut.map(|worker| ask.copies(usize::MAX, &worker.capacity)).sum();
         if pool().next().is_none() {
@@ -204,7 +204,7 @@
 
 /// Tasks of a gang that cannot start since others of it may still run.
 fn remains(entry: &Entry, occurrence: u32, number: u32, step: &Step) -> usize {
-    if !step.gang || !entry.placed(occurrence, number) {
+    if !step.gang || !entry.has_runs(occurrence, number) {
         return 0;
     }
     if entry.progress.step_done(occurrence, number, step) {
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -18,11 +18,11 @@
     /// The workers that take work.
     pub spots: Vec<Spot>,
     /// What is truly free, reservations not taken away.
-    pub actual: Vec<Need>,
+    pub actual_free: Vec<Need>,
     /// The runs of each unit that stops as a whole.
     pub units: BTreeMap<u64, Vec<(Id, Key)>>,
     /// Places at which something has just started.
-    pub fresh: BTreeMap<usize, Fresh>,
+    pub recent_starts: BTreeMap<usize, Fresh>,
 }
 
 /// Places that a step leaves free, by why.
@@ -96,7 +96,8 @@
         let mut spots: Vec<Spot> = Vec::new();
         let mut places: BTreeMap<&str, usize> = BTreeMap::new();
         for (name, agent) in &self.agents {
-            let Some(worker) = agent.worker.as_ref().filter(|_| agent.open(&self.settings, now))
+            let Some(worker) =
+                agent.worker.as_ref().filter(|_| agent.accepts_runs(&self.settings, now))
             else {
                 continue;
             };
@@ -111,8 +112,8 @@
                 free: self.left_by_strays(agent, worker.capacity),
                 stopping: Need::default(),
                 ending: Need::default(),
-                doubtful: agent.doubted.max(agent.warm) > now
-                    || agent.silent > self.settings.mute / 2,
+                doubtful: agent.doubted_until.max(agent.cold_until) > now
+                    || agent.silent_ms > self.settings.mute / 2,
                 holders: Vec::new(),
             });
         }
@@ -137,22 +138,23 @@
                 };
                 // One that gave its guaranteed room up once does not again: all would begin, and
                 // none end.
-                let yields = hold != Hold::Guaranteed || (entry.begun && !entry.gave_way);
-                let ending = !step.perpetual && entry.unit_ends(placed, &self.settings, now);
+                let yields = hold != Hold::Guaranteed
+                    || (entry.first_step_started && !entry.guarantee_preempted);
+                let ending = !step.perpetual && entry.unit_ends_soon(placed, &self.settings, now);
                 if ending {
                     spots[place].ending.give(&need);
                 }
                 if placed.phase == Phase::Stopping {
                     spots[place].stopping.give(&need);
                 } else if yields && self.may_yield(id, *key, &mut taken) {
-                    let loss = loss(step, now.saturating_sub(placed.began));
+                    let loss = loss(step, now.saturating_sub(placed.started_at));
                     let unit = placed.unit;
                     spots[place].holders.push(Holder { unit, need, hold, loss, ending });
                 }
             }
         }
         let actual = spots.iter().map(|spot| spot.free).collect();
-        Snapshot { spots, actual, units, fresh }
+        Snapshot { spots, actual_free: actual, units, recent_starts: fresh }
     }
 
     /// What runs that nobody waits for leave of a worker's capacity until their stops are
@@ -175,7 +177,7 @@
         if !step.is_some_and(|step| step.perpetual && step.may_miss > 0) {
             return true;
         }
-        let spare = self.spare_runs(id, key.0, key.1);
+        let spare = self.disruption_budget(id, key.0, key.1);
         let taken = taken.entry((id.clone(), key.0, key.1)).or_default();
         *taken += 1;
         *taken <= spare
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -32,7 +32,7 @@
         self.log("worker broke", name, format!("{worker} just after {}", list_starts(&starts)));
         let Some(agent) = self.agents.get_mut(name) else { return };
         let there = agent.worker.as_ref().filter(|known| known.is(&worker));
-        if there.is_some_and(|worker| worker.draining) || agent.doomed {
+        if there.is_some_and(|worker| worker.draining) || agent.shutdown_requested {
             return;
         }
         let later = there.is_none() && agent.worker.is_some();
@@ -61,9 +61,9 @@
             [] => {}
             [(alone, _)] => self.explain_others(alone),
             _ => {
-                self.shared.push(starts.into_iter().map(|(task, _)| task).collect());
-                if self.shared.len() > SHARED {
-                    self.shared.remove(0);
+                self.suspect_groups.push(starts.into_iter().map(|(task, _)| task).collect());
+                if self.suspect_groups.len() > SHARED {
+                    self.suspect_groups.remove(0);
                 }
             }
         }
@@ -73,10 +73,10 @@
     /// It keeps its count, as several bad tasks may have been lost together.
     fn explain_others(&mut self, bad: &Task) {
         let with_bad = |tasks: &mut Vec<Task>| tasks.contains(bad);
-        let others: Vec<Vec<Task>> = self.shared.extract_if(.., with_bad).collect();
+        let others: Vec<Vec<Task>> = self.suspect_groups.extract_if(.., with_bad).collect();
         for task in others.iter().flatten().filter(|task| *task != bad) {
             let Some(entry) = self.jobs.get_mut(&task.job) else { continue };
-            entry.explained.insert(entry.key(key(task)));
+            entry.exonerated.insert(entry.slot(key(task)));
             self.replan = true;
         }
     }
@@ -89,7 +89,7 @@
         }
         // One that has outlived a start is not the cause; but a list that was held up on its
         // way may have shown it alive, so alone it counts.
-        if among > 1 && entry.sound.contains(&entry.key(key(task))) {
+        if among > 1 && entry.survived_start.contains(&entry.slot(key(task))) {
             return;
         }
         let known = entry.progress.crashes(&entry.job, task);
@@ -97,14 +97,14 @@
         if crashes == known {
             return;
         }
-        entry.explained.remove(&entry.key(key(task)));
-        entry.unrecorded = true;
-        entry.reserved.remove(&(task.occurrence, task.step));
+        entry.exonerated.remove(&entry.slot(key(task)));
+        entry.crash_unrecorded = true;
+        entry.reservations.remove(&(task.occurrence, task.step));
         let detail = format!(
             "{task} run {run} at {name}, one of {among} just started there: {crashes} of {CRASHES}"
         );
         self.log("crash suspected", &task.job, detail);
-        self.touch(&task.job, true);
+        self.mark_dirty(&task.job, true);
         if crashes >= CRASHES {
             self.end_job(&task.job, State::Failed, self.now);
         }
@@ -113,8 +113,9 @@
     /// The record of a job was written: crashes under its tasks are not forgotten any more.
     pub(crate) fn note_recorded(&mut self, id: &str) {
         let newer = self.dirty.contains(id);
-        if let Some(entry) = self.jobs.get_mut(id).filter(|entry| entry.unrecorded && !newer) {
-            entry.unrecorded = false;
+        if let Some(entry) = self.jobs.get_mut(id).filter(|entry| entry.crash_unrecorded && !newer)
+        {
+            entry.crash_unrecorded = false;
             self.replan = true;
         }
     }
@@ -134,14 +135,14 @@
         for run in running {
             let Some(entry) = self.jobs.get_mut(&run.task.job) else { continue };
             let Some(placed) = entry.runs.get_mut(&key(&run.task)) else { continue };
-            if placed.worker != *worker || placed.run != run.number || placed.outlived {
+            if placed.worker != *worker || placed.run != run.number || placed.survived_start {
                 continue;
             }
             // An agent's clock begins anew with its machine.
-            let first = placed.listed.map_or(stamp, |first| first.min(stamp));
-            placed.listed = Some(first);
-            placed.outlived = stamp >= first + APART;
-            if placed.outlived && entry.gang_outlived(key(&run.task)) {
+            let first = placed.first_listed_at.map_or(stamp, |first| first.min(stamp));
+            placed.first_listed_at = Some(first);
+            placed.survived_start = stamp >= first + APART;
+            if placed.survived_start && entry.gang_survived_start(key(&run.task)) {
                 self.outlived(&run.task);
             }
         }
@@ -151,20 +152,20 @@
     /// crashes each.
     pub(crate) fn outlived(&mut self, task: &Task) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        entry.sound.insert(entry.key(key(task)));
+        entry.survived_start.insert(entry.slot(key(task)));
         self.clear_suspect(task, "it outlived its start");
     }
 
     /// A task is no suspect any more.
     fn clear_suspect(&mut self, task: &Task, why: &str) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        if entry.crashes(&task.job, key(task)) == 0 {
+        if entry.consecutive_crashes(&task.job, key(task)) == 0 {
             return;
         }
         entry.progress.clear(&entry.job, task);
         self.replan = true;
         self.log("crash cleared", &task.job, format!("{task}: {why}"));
-        self.touch(&task.job, false);
+        self.mark_dirty(&task.job, false);
     }
 
     /// Starts a suspect where the least is lost with the worker that it may crash: at as few
@@ -183,8 +184,8 @@
             let open: BTreeSet<usize> = order.iter().take(most).copied().collect();
             let closed: Vec<usize> =
                 (0..snapshot.spots.len()).filter(|place| !open.contains(place)).collect();
-            let spared = self.place_on_rest(candidate, (step, pool), (snapshot, &closed), time);
-            if self.unplaced(candidate) == 0 || most >= order.len() {
+            let spared = self.place_elsewhere(candidate, (step, pool), (snapshot, &closed), time);
+            if self.unplaced_tasks(candidate) == 0 || most >= order.len() {
                 return spared;
             }
             most *= 2;
@@ -196,7 +197,7 @@
     /// others those at which a suspect has.
     pub(crate) fn kept_apart(&self, candidate: &Candidate, snapshot: &Snapshot) -> Vec<usize> {
         let kept = |fresh: Fresh| candidate.suspect || fresh == Fresh::Suspect;
-        let fresh = snapshot.fresh.iter().filter(|(_, fresh)| kept(**fresh));
+        let fresh = snapshot.recent_starts.iter().filter(|(_, fresh)| kept(**fresh));
         fresh.map(|(place, _)| *place).collect()
     }
 }
@@ -219,10 +220,10 @@
 
     /// Which it is, if the run has just started.
     pub fn of(id: &str, entry: &Entry, key: Key, placed: &Placement, now: u64) -> Option<Fresh> {
-        if placed.outlived || now >= placed.confirmed.unwrap_or(now) + APART {
+        if placed.survived_start || now >= placed.confirmed_at.unwrap_or(now) + APART {
             return None;
         }
-        Some(if entry.crashes(id, key) > 0 { Fresh::Suspect } else { Fresh::Any })
+        Some(if entry.consecutive_crashes(id, key) > 0 { Fresh::Suspect } else { Fresh::Any })
     }
 }
 
@@ -242,15 +243,15 @@
     if !entry.progress.suspected() {
         return vec![(tasks, false)];
     }
-    let slot = |index: u32| entry.key((occurrence, step, index));
-    let open = |slot: &Key| !entry.explained.contains(slot);
+    let slot = |index: u32| entry.slot((occurrence, step, index));
+    let open = |slot: &Key| !entry.exonerated.contains(slot);
     let under_way = |(key, placed): (&Key, &Placement)| {
-        open(&entry.key(*key)) && Fresh::of(id, entry, *key, placed, now) == Some(Fresh::Suspect)
+        open(&entry.slot(*key)) && Fresh::of(id, entry, *key, placed, now) == Some(Fresh::Suspect)
     };
-    if entry.unrecorded || entry.runs.iter().any(under_way) {
+    if entry.crash_unrecorded || entry.runs.iter().any(under_way) {
         return Vec::new();
     }
-    let crashed = |index: &u32| entry.crashes(id, slot(*index)) > 0;
+    let crashed = |index: &u32| entry.consecutive_crashes(id, slot(*index)) > 0;
     let (suspects, others): (Vec<u32>, Vec<u32>) = tasks.into_iter().partition(crashed);
     let gang = entry.job.steps.get(step as usize).is_some_and(|step| step.gang);
     let mut groups = match gang && !suspects.is_empty() {
@@ -273,9 +274,9 @@
 
 /// True if tasks of the step wait for a suspect of their job that has not been tried again.
 fn waits_for_suspect(entry: &Entry, step: (u32, u32), now: u64) -> bool {
-    let runs = |slot: &Key| entry.runs.keys().any(|key| entry.key(*key) == *slot);
-    let untried = |slot: &Key| !entry.explained.contains(slot) && !runs(slot);
-    let patient = entry.idle.is_none_or(|since| now < since + PATIENCE);
+    let runs = |slot: &Key| entry.runs.keys().any(|key| entry.slot(*key) == *slot);
+    let untried = |slot: &Key| !entry.exonerated.contains(slot) && !runs(slot);
+    let patient = entry.idle_since.is_none_or(|since| now < since + PATIENCE);
     let holds = |slot: Key| patient || (slot.0, slot.1) == step;
     entry.progress.suspects().filter(untried).any(holds)
 }
--- a/crates/dispatch/src/throttle.rs
+++ b/crates/dispatch/src/throttle.rs
@@ -37,7 +37,7 @@
                 &task.job,
                 format!("{task} at {percent} percent, load {load} percent"),
             );
-            self.order(name, Order::Pace { worker, task, run, percent });
+            self.send_to_agent(name, Order::Pace { worker, task, run, percent });
         }
     }
 
@@ -54,14 +54,15 @@
     /// How many more runs of a lasting step may be taken away. What the system
     /// takes away is bounded for each step, together with what is away for any
     /// other cause.
-    pub(crate) fn spare_runs(&self, id: &str, occurrence: u32, number: u32) -> u32 {
+    pub(crate) fn disruption_budget(&self, id: &str, occurrence: u32, number: u32) -> u32 {
         let Some(entry) = self.jobs.get(id) else { return 0 };
         let Some(step) = entry.job.steps.get(number as usize) else { return 0 };
         let at_work = (0..step.count).filter(|&index| {
             let at: Key = (occurrence, number, index);
             let placed = entry.runs.get(&at);
             placed.is_some_and(|placed| {
-                let doomed = self.agents.get(&placed.agent).is_some_and(|agent| agent.doomed);
+                let doomed =
+                    self.agents.get(&placed.agent).is_some_and(|agent| agent.shutdown_requested);
                 placed.phase == Phase::Running && placed.percent >= 100 && !doomed
             })
         });
--- a/crates/dispatch/src/unlisted.rs
+++ b/crates/dispatch/src/unlisted.rs
@@ -21,19 +21,19 @@
     /// A worker that was told to stop a run does not begin it any more, so that its task
     /// may start elsewhere once the stop is confirmed and a look does not list it.
     pub(crate) fn stop_unlisted(&mut self, now: u64) {
-        if now < self.sought + SEEK {
+        if now < self.unlisted_checked_at + SEEK {
             return;
         }
-        self.sought = now;
+        self.unlisted_checked_at = now;
         for (id, key) in self.not_listed_for(now, self.settings.missing) {
             self.log("run missing", &id, format!("{key:?} is not listed, and is stopped"));
-            self.stop(&id, key, now);
+            self.stop_run(&id, key, now);
         }
     }
 
     fn not_listed_for(&self, now: u64, bound: u64) -> Vec<(Id, Key)> {
         let old =
-            |placed: &Placement| placed.phase == Phase::Running && now >= placed.since + bound;
+            |placed: &Placement| placed.phase == Phase::Running && now >= placed.updated_at + bound;
         let runs = self.jobs.iter().flat_map(|(id, entry)| entry.runs.iter().map(move |r| (id, r)));
         let missing =
             runs.filter(|(id, (key, placed))| old(placed) && self.omits(id, **key, placed));
@@ -45,6 +45,6 @@
         let Some(agent) = self.agents.get(&placed.agent) else { return false };
         let there = agent.worker.as_ref().is_some_and(|worker| worker.is(&placed.worker));
         let run = (task(id, key), placed.run);
-        there && agent.fenced && agent.link.is_some() && !agent.listed.contains(&run)
+        there && agent.fenced && agent.link.is_some() && !agent.listed_runs.contains(&run)
     }
 }
--- a/crates/dispatch/src/upkeep.rs
+++ b/crates/dispatch/src/upkeep.rs
@@ -197,7 +197,7 @@
     /// Carries the waves on.
     pub(crate) fn maintain(&mut self, now: u64, wall: u64) {
         // Holders of a machine's fencing token take turns no faster than this.
-        if now < self.claimed + self.settings.turn {
+        if now < self.claimed_at + self.settings.turn {
             return;
         }
         let open = self.open_waves();
@@ -242,8 +242,8 @@
         let worker = self.upkeep.machines.get(machine).map(|machine| machine.worker.clone());
         let name = worker.and_then(|worker| self.agent_of(&worker).map(str::to_owned));
         if let Some(agent) = name.and_then(|name| self.agents.get_mut(&name)) {
-            self.replan |= agent.doomed;
-            agent.doomed = false;
+            self.replan |= agent.shutdown_requested;
+            agent.shutdown_requested = false;
         }
     }
 
@@ -316,7 +316,7 @@
                 course.called.insert(machine.clone(), now);
             }
             if let Some(agent) = self.agents.get_mut(&agent) {
-                agent.doomed = true;
+                agent.shutdown_requested = true;
             }
             self.outputs.push(Output::Take { wave: number, machine });
         }
@@ -339,7 +339,7 @@
             for (key, placed) in entry.runs.iter().filter(|(_, placed)| placed.agent == agent) {
                 let lasting = entry.step(*key).is_some_and(|step| step.perpetual);
                 if !lasting {
-                    lost += now.saturating_sub(placed.began).max(1);
+                    lost += now.saturating_sub(placed.started_at).max(1);
                 }
             }
         }
@@ -356,8 +356,9 @@
                     *hit.entry((key.0, key.1)).or_default() += 1;
                 }
             }
-            hit.iter()
-                .all(|(&(occurrence, step), &runs)| runs <= self.spare_runs(id, occurrence, step))
+            hit.iter().all(|(&(occurrence, step), &runs)| {
+                runs <= self.disruption_budget(id, occurrence, step)
+            })
         })
     }
 
--- a/crates/dispatch/tests/advice.rs
+++ b/crates/dispatch/tests/advice.rs
@@ -25,7 +25,7 @@
 #[test]
 fn a_step_starts_only_where_it_is_cleared() {
     let mut bed = Bed::open(1, 3).idle(3);
-    bed.owner.job("a", cleared(vec![step(2, 8)]), 150, None);
+    bed.owner.add_job("a", cleared(vec![step(2, 8)]), 150, None);
     bed.step();
     let asked = bed.told();
     answer(&mut bed, &["i2"]);
@@ -39,7 +39,7 @@
 #[test]
 fn what_is_known_of_a_step_is_not_asked_again_until_its_ticket_runs_out() {
     let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", cleared(vec![step(1, 8)]), 150, None);
     bed.step();
     answer(&mut bed, &["i1"]);
     bed.status(1, &[], &[bed::end(1, task("a", 0, 0), 1, quincewheel_job::How::Stopped)]);
@@ -65,7 +65,7 @@
 #[test]
 fn a_ticket_that_was_refused_is_asked_for_anew() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", cleared(vec![step(1, 8)]), 150, None);
     bed.step();
     answer(&mut bed, &["i0"]);
     bed.told();
@@ -78,7 +78,7 @@
 #[test]
 fn a_question_without_an_answer_is_asked_again() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", cleared(vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", cleared(vec![step(1, 8)]), 150, None);
     bed.step();
     bed.told();
     let question = bed.questions.remove(0);
--- a/crates/dispatch/tests/bed/mod.rs
+++ b/crates/dispatch/tests/bed/mod.rs
@@ -23,7 +23,7 @@
 impl Bed {
     /// An owner that has just claimed, and knows agents `w0` to `wN`.
     pub fn open(epoch: u64, agents: u64) -> Bed {
-        let mut owner = Owner::open(Settings::default(), epoch, CLAIM, 10_000);
+        let mut owner = Owner::new(Settings::default(), epoch, CLAIM, 10_000);
         for number in 0..agents {
             owner.agent(&format!("w{number}"), 10_000);
         }
@@ -66,7 +66,7 @@
     }
 
     pub fn notice(&mut self, link: LinkId, notice: Notice) {
-        self.owner.notice(link, notice, self.now);
+        self.owner.on_notice(link, notice, self.now);
         self.step();
     }
 
@@ -76,7 +76,7 @@
     }
 
     pub fn step(&mut self) {
-        self.owner.confirm(self.now);
+        self.owner.confirm_ownership(self.now);
         self.owner.tick(self.now, self.now);
         self.drain();
     }
@@ -89,7 +89,7 @@
     }
 
     pub fn drain(&mut self) {
-        for output in self.owner.outputs() {
+        for output in self.owner.take_outputs() {
             match output {
                 Output::Send { order: Order::Grant { .. } | Order::Claim { .. }, .. } => {}
                 Output::Send { link, order } => self.lines.push(line(link, &order)),
--- a/crates/dispatch/tests/blame.rs
+++ b/crates/dispatch/tests/blame.rs
@@ -26,7 +26,7 @@
 fn a_task_does_not_return_to_the_worker_at_which_it_failed() {
     let mut bed = Bed::open(1, 2).idle(2);
     for (number, name) in [(150, "a"), (151, "b")] {
-        bed.owner.job(name, job(1, vec![step(1, 8)]), number, None);
+        bed.owner.add_job(name, job(1, vec![step(1, 8)]), number, None);
         bed.step();
     }
     bed.told();
@@ -45,7 +45,7 @@
     let mut bed = Bed::open(1, 1).idle(1);
     let mut told = Vec::new();
     for (number, name) in [(1, "a"), (2, "b"), (3, "c"), (4, "d")] {
-        bed.owner.job(name, job(1, vec![step(1, 8)]), 150 + number, None);
+        bed.owner.add_job(name, job(1, vec![step(1, 8)]), 150 + number, None);
         bed.step();
         told.push(format!("{name}: {}", bed.told()));
         if number < 4 {
@@ -73,14 +73,14 @@
     let mut bed = Bed::open(1, 1).idle(1);
     let mut hopeless = job(1, vec![step(1, 8)]);
     hopeless.queue.attempts = 9;
-    bed.owner.job("a", hopeless, 150, None);
+    bed.owner.add_job("a", hopeless, 150, None);
     bed.step();
     for number in 1..=4 {
         fail(&mut bed, number, "a", number);
     }
     bed.owner.cancel("a", bed.now);
     bed.told();
-    bed.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
+    bed.owner.add_job("b", job(1, vec![step(1, 8)]), 151, None);
     bed.step();
     assert_snapshot!(bed.told(), @"w0 start b.0.0.0 run 1");
 }
@@ -90,7 +90,7 @@
 #[test]
 fn a_task_returns_after_a_while_where_no_other_worker_may_run_it() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     bed.told();
     fail(&mut bed, 1, "a", 1);
--- a/crates/dispatch/tests/broke.rs
+++ b/crates/dispatch/tests/broke.rs
@@ -16,8 +16,8 @@
     let worker = bed::worker(0).incarnation();
     bed.notice(0, Notice::Broke { worker, starts: Vec::new() });
     let gang = |count| Step { gang: true, ..step(count, 8) };
-    bed.owner.job("two", job(0, vec![gang(2)]), 150, None);
-    bed.owner.job("one", job(0, vec![gang(1)]), 151, None);
+    bed.owner.add_job("two", job(0, vec![gang(2)]), 150, None);
+    bed.owner.add_job("one", job(0, vec![gang(1)]), 151, None);
     bed.step();
     let broken = bed.told();
     bed.status(0, &[], &[]);
@@ -41,12 +41,12 @@
         bed.notice(0, Notice::Status { stamp, worker, fenced: true, running, ended });
     };
     report(&mut bed, cold(800));
-    bed.owner.job("cold", job(0, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("cold", job(0, vec![step(1, 1)]), 150, None);
     bed.step();
     bed.pass(500);
     report(&mut bed, cold(800));
     bed.pass(400);
-    bed.owner.job("warm", job(0, vec![step(1, 8)]), 151, None);
+    bed.owner.add_job("warm", job(0, vec![step(1, 8)]), 151, None);
     bed.step();
     assert_snapshot!(bed.told(), @r"
     w1 start cold.0.0.0 run 1 
--- a/crates/dispatch/tests/capacity.rs
+++ b/crates/dispatch/tests/capacity.rs
@@ -21,7 +21,7 @@
 fn room_that_grows_again_is_used_at_once() {
     let mut bed = Bed::open(1, 1).idle(1);
     status(&mut bed, 2, &[]);
-    bed.owner.job("a", job(1, vec![step(1, 4)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 4)]), 150, None);
     bed.step();
     let shrunk = bed.told();
     status(&mut bed, 8, &[]);
@@ -35,12 +35,12 @@
 #[test]
 fn nothing_starts_at_a_worker_that_has_shrunk_below_what_runs_there() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(2, 3)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(2, 3)]), 150, None);
     bed.step();
     let runs = [run(task("a", 0, 0), 1), run(task("a", 0, 1), 1)];
     bed.told();
     status(&mut bed, 4, &runs);
-    bed.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
+    bed.owner.add_job("b", job(1, vec![step(1, 1)]), 151, None);
     bed.step();
     let over = bed.told();
     let ended = [bed::end(1, task("a", 0, 0), 1, quincewheel_job::How::Done)];
@@ -64,7 +64,7 @@
 fn room_of_a_run_that_nobody_waits_for_is_free_only_when_it_is_gone() {
     let mut bed = Bed::open(1, 1).idle(1);
     bed.status(0, &[run(task("unknown", 0, 0), 7)], &[]);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     bed.step();
     let stopping = bed.told();
     bed.status(0, &[], &[]);
--- a/crates/dispatch/tests/crashes.rs
+++ b/crates/dispatch/tests/crashes.rs
@@ -35,7 +35,7 @@
 #[test]
 fn a_task_that_crashes_workers_which_keep_their_ids_is_given_up() {
     let mut pool = Pool::open(1, 4);
-    pool.bed.owner.tune(Settings::default());
+    pool.bed.owner.update_settings(Settings::default());
     pool.keeps_ids = true;
     pool.bad = vec!["bad"];
     pool.submit("bad", job(1, vec![step(1, 4)]), 150);
@@ -206,7 +206,7 @@
 #[test]
 fn a_crash_counts_when_the_next_life_is_known_only_later() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     bed.events = vec!["crash suspected"];
     let starts = vec![(bed::task("a", 0, 0), 1)];
@@ -226,7 +226,7 @@
 #[test]
 fn a_crash_of_a_life_before_the_one_that_is_there_counts_at_once() {
     let mut bed = Bed::open(1, 1);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     let mut bed = bed.idle(1);
     bed.events = vec!["crash suspected"];
     let starts = vec![(bed::task("a", 0, 0), 1)];
@@ -334,7 +334,7 @@
     let mut bed = Bed::open(1, 2).idle(2);
     let mut gang = job(1, vec![step(2, 8)]);
     gang.steps[0].gang = true;
-    bed.owner.job("a", gang, 150, None);
+    bed.owner.add_job("a", gang, 150, None);
     bed.step();
     bed.events = vec!["crash suspected"];
     // The first member's worker is gone; the second waits.
@@ -363,14 +363,14 @@
 #[test]
 fn a_crash_under_a_task_that_is_done_holds_nothing_up() {
     let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", job(1, vec![step(2, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(2, 8)]), 150, None);
     bed.step();
     let first = bed::task("a", 0, 0);
     bed.status(0, &[], &[bed::end(1, first.clone(), 1, quincewheel_job::How::Done)]);
     let record = bed.record();
     let (_, progress) = record.jobs.first().cloned().expect("the end is recorded");
     let mut bed = Bed::open(2, 2);
-    bed.owner.job("a", job(1, vec![step(2, 8)]), 50, Some(progress));
+    bed.owner.add_job("a", job(1, vec![step(2, 8)]), 50, Some(progress));
     bed.link(0);
     let starts = vec![(first, 1)];
     bed.notice(0, Notice::Broke { worker: "i0-before".into(), starts });
--- a/crates/dispatch/tests/dismissed.rs
+++ b/crates/dispatch/tests/dismissed.rs
@@ -30,7 +30,7 @@
     let batch = bed.owner.record().unwrap_or_default();
     // It answers again before the table does.
     bed.notice(1, Notice::Ping { stamp: bed.now, silent: 0 });
-    bed.owner.job("a", job(1, vec![step(9, 1)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(9, 1)]), 150, None);
     bed.step();
     let began = bed.told().lines().filter(|line| line.starts_with("w1")).count();
     bed.owner.recorded(&batch, true);
@@ -43,13 +43,13 @@
 #[test]
 fn a_run_at_a_member_whose_row_was_just_dropped_ends_with_its_lease() {
     let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
     pass(&mut bed, 15_000, 0);
     let batch = bed.owner.record().unwrap_or_default();
     // It answers again before the table does, and what it lists is taken in.
-    bed.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
+    bed.owner.add_job("b", job(1, vec![step(1, 8)]), 151, None);
     bed.status(1, &[run(task("b", 0, 0), 1)], &[]);
     bed.owner.recorded(&batch, true);
     bed.told();
@@ -85,7 +85,7 @@
     bed.link(1);
     // What the agent tells on a claim, and when: `Runner::claim` and `Runner::tick`.
     bed.status(1, &[], &[]);
-    bed.owner.job("a", job(1, vec![step(9, 1)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(9, 1)]), 150, None);
     bed.pass(1000);
     bed.notice(1, Notice::Ping { stamp: bed.now, silent: silent + 1000 });
     let told = bed.told();
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -43,7 +43,7 @@
 fn a_zone_is_told_empty_once_and_only_when_all_that_may_run_there_is_known() {
     let mut bed = Bed::open(2, 2);
     bed.events = EVENTS.to_vec();
-    bed.owner.job("old", job(0, vec![step(1, 8)]), 50, None);
+    bed.owner.add_job("old", job(0, vec![step(1, 8)]), 50, None);
     bed.owner.evacuate(&zones(&["a"]), bed.now);
     bed.pass(300);
     let unheard = format!("{}\n{:?}", bed.logged(), bed.owner.evacuated());
@@ -79,7 +79,7 @@
     bed.step();
     bed.told();
     let gang = Step { gang: true, same_rack: true, ..step(3, 8) };
-    bed.owner.job("gang", Job { accepted: bed.now, ..job(0, vec![gang]) }, 150, None);
+    bed.owner.add_job("gang", Job { accepted: bed.now, ..job(0, vec![gang]) }, 150, None);
     bed.step();
     assert_snapshot!(bed.told(), @r#"
     w3 start gang.0.0.0 run 1 
@@ -96,11 +96,11 @@
     let teams = [("t".to_owned(), team)].into();
     bed.owner.configure(&Config { version: 1, teams, ..Config::default() });
     bed.owner.evacuate(&zones(&["a"]), bed.now);
-    bed.owner.job("other", Job { team: "o".into(), ..job(1, vec![step(1, 8)]) }, 150, None);
+    bed.owner.add_job("other", Job { team: "o".into(), ..job(1, vec![step(1, 8)]) }, 150, None);
     bed.step();
     report(&mut bed, 2, &[run(task("other", 0, 0), 1)]);
     bed.told();
-    bed.owner.job("owed", Job { accepted: bed.now, ..job(0, vec![step(1, 8)]) }, 160, None);
+    bed.owner.add_job("owed", Job { accepted: bed.now, ..job(0, vec![step(1, 8)]) }, 160, None);
     bed.step();
     assert_snapshot!(bed.told(), @r#"
     w2 stop other.0.0.0 run 1
@@ -113,7 +113,7 @@
 fn a_start_that_is_not_confirmed_is_not_ordered_again_in_an_evacuated_zone() {
     let mut bed = open(3);
     let gang = Step { gang: true, ..step(3, 8) };
-    bed.owner.job("gang", job(0, vec![gang]), 150, None);
+    bed.owner.add_job("gang", job(0, vec![gang]), 150, None);
     bed.step();
     bed.owner.unlinked(0);
     bed.owner.evacuate(&zones(&["a"]), bed.now);
@@ -135,14 +135,14 @@
 fn an_owner_that_has_not_heard_of_operators_for_long_starts_nothing() {
     let mut bed = open(2);
     let settings = Settings { evacuation: Some(5000), ..Settings::default() };
-    bed.owner.tune(settings);
+    bed.owner.update_settings(settings);
     bed.owner.evacuate(&zones(&[]), bed.now);
     bed.live(3600, 2);
-    bed.owner.job("before", job(0, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("before", job(0, vec![step(1, 1)]), 150, None);
     bed.step();
     let before = bed.told();
     bed.live(200, 2);
-    bed.owner.job("after", job(0, vec![step(1, 1)]), 160, None);
+    bed.owner.add_job("after", job(0, vec![step(1, 1)]), 160, None);
     bed.live(2000, 2);
     let unheard = bed.told();
     bed.owner.evacuate(&zones(&["a"]), bed.now);
@@ -176,7 +176,7 @@
     let mut bed = open(2);
     bed.live(20_000, 2);
     bed.told();
-    bed.owner.job("work", job(0, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("work", job(0, vec![step(1, 1)]), 150, None);
     bed.step();
     assert_snapshot!(bed.told(), @r#"
     w0 start work.0.0.0 run 1
@@ -202,8 +202,8 @@
 
 #[test]
 fn an_owner_that_knows_of_no_evacuation_tells_agents_nothing() {
-    let mut owner = Owner::open(Settings::default(), 1, 1, 0);
+    let mut owner = Owner::new(Settings::default(), 1, 1, 0);
     owner.evacuate(&zones(&[]), 5);
     owner.linked("w0", 0, 10);
-    assert_eq!(owner.outputs().len(), 1);
+    assert_eq!(owner.take_outputs().len(), 1);
 }
--- a/crates/dispatch/tests/former.rs
+++ b/crates/dispatch/tests/former.rs
@@ -67,18 +67,18 @@
 /// and when its work starts elsewhere.
 fn take_over(cut: u64, claimed: u64, pings: [u64; 3]) -> (u64, u64) {
     let written = WRITTEN;
-    let mut former = Owner::open(Settings::default(), 1, 1, 9_000);
+    let mut former = Owner::new(Settings::default(), 1, 1, 9_000);
     for number in 0..3 {
         former.linked(&format!("w{number}"), number, 9_000);
         let running = if number == 0 { vec![run(task("old", 0, 0), 1)] } else { Vec::new() };
-        former.notice(number, status(number, 9_000, &running), 9_000);
+        former.on_notice(number, status(number, 9_000, &running), 9_000);
     }
-    former.outputs();
-    former.confirm(written);
+    former.take_outputs();
+    former.confirm_ownership(written);
     let mut bed = Bed::open(2, 0);
     bed.now = claimed;
-    bed.owner = Owner::open(Settings::default(), 2, bed::CLAIM, claimed);
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    bed.owner = Owner::new(Settings::default(), 2, bed::CLAIM, claimed);
+    bed.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     for number in 0..3 {
         bed.owner.agent(&format!("w{number}"), claimed);
     }
@@ -86,11 +86,11 @@
     for now in (9_100..25_000).step_by(100) {
         for (number, ping) in (0..3).zip(pings) {
             if now % 1000 == ping && (number == 0 || now < cut) {
-                former.notice(number, Notice::Ping { stamp: now, silent: 0 }, now);
+                former.on_notice(number, Notice::Ping { stamp: now, silent: 0 }, now);
             }
         }
         former.tick(now, now);
-        for output in former.outputs() {
+        for output in former.take_outputs() {
             if let Output::Send { link: 0, order: Order::Grant { stamp } } = output {
                 granted = stamp;
             }
--- a/crates/dispatch/tests/kept.rs
+++ b/crates/dispatch/tests/kept.rs
@@ -19,12 +19,12 @@
     bed.owner.configure(&Config { version: 1, teams, ..Config::default() });
     for number in 0..2 {
         let name = format!("low{number}");
-        bed.owner.job(&name, job(1, vec![step(1, 8)]), 150 + number, None);
+        bed.owner.add_job(&name, job(1, vec![step(1, 8)]), 150 + number, None);
         bed.status(number, &[run(low(number), 1)], &[]);
         bed.pass(200);
     }
     bed.told();
-    bed.owner.job("high", job(0, vec![step(1, 8)]), 200, None);
+    bed.owner.add_job("high", job(0, vec![step(1, 8)]), 200, None);
     bed.step();
     let made = bed.told();
     bed.pass(1000);
--- a/crates/dispatch/tests/leaving.rs
+++ b/crates/dispatch/tests/leaving.rs
@@ -14,7 +14,7 @@
 #[test]
 fn what_ran_at_a_worker_that_left_starts_elsewhere_at_once() {
     let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     bed.step();
     let began = bed.told();
     bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -34,7 +34,7 @@
 #[test]
 fn orders_are_given_again_on_a_new_connection() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     bed.step();
     bed.owner.unlinked(0);
     bed.link(0);
@@ -58,12 +58,12 @@
 #[test]
 fn a_silent_worker_loses_old_runs_only_and_gets_no_new_ones() {
     let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
     let began = bed.told();
-    bed.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
-    bed.owner.job("c", job(1, vec![step(1, 1)]), 152, None);
+    bed.owner.add_job("b", job(1, vec![step(1, 8)]), 151, None);
+    bed.owner.add_job("c", job(1, vec![step(1, 1)]), 152, None);
     for silent in [2000, 4000, 6300, 6400] {
         bed.pass(1600);
         bed.notice(1, Notice::Ping { stamp: bed.now, silent: 0 });
@@ -83,7 +83,7 @@
 #[test]
 fn what_ran_at_a_dead_worker_lapses_by_its_last_answer_though_its_agent_lived_on() {
     let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
     bed.told();
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -88,7 +88,7 @@
 #[test]
 fn a_new_owner_that_reaches_few_agents_waits_until_the_former_one_grants_no_more() {
     let mut bed = Bed::open(2, 3);
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    bed.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     bed.link(0);
     bed.status(0, &[], &[]);
     pass(&mut bed, 14_000, &[0]);
@@ -107,7 +107,7 @@
 #[test]
 fn a_worker_that_answers_nothing_is_waited_for_until_its_silence_is_a_lease_long() {
     let mut bed = Bed::open(2, 2);
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    bed.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     bed.link(0);
     bed.status(0, &[], &[]);
     bed.link(1);
--- a/crates/dispatch/tests/pace.rs
+++ b/crates/dispatch/tests/pace.rs
@@ -10,7 +10,7 @@
 fn play(percents: &[u32]) -> String {
     let mut bed = Bed::open(1, 2).idle(2);
     let long = Step { estimate: 4000, ..step(1, 8) };
-    bed.owner.job("a", job(1, vec![long]), 150, None);
+    bed.owner.add_job("a", job(1, vec![long]), 150, None);
     bed.step();
     bed.told();
     for &percent in percents {
@@ -52,7 +52,7 @@
 fn a_member_that_waits_for_its_gang_is_left_alone() {
     let mut bed = Bed::open(1, 2).idle(2);
     let gang = Step { estimate: 4000, gang: true, ..step(2, 8) };
-    bed.owner.job("a", job(1, vec![gang]), 150, None);
+    bed.owner.add_job("a", job(1, vec![gang]), 150, None);
     bed.step();
     bed.told();
     for slow in [20, 30, 40, 50, 60, 70] {
--- a/crates/dispatch/tests/pool/mod.rs
+++ b/crates/dispatch/tests/pool/mod.rs
@@ -48,7 +48,7 @@
 impl Pool {
     pub fn open(epoch: u64, workers: u64) -> Pool {
         let mut bed = Bed::open(epoch, workers);
-        bed.owner.tune(*SETTINGS);
+        bed.owner.update_settings(*SETTINGS);
         let mut pool = Pool {
             bed,
             lives: vec![0; workers as usize],
@@ -84,24 +84,24 @@
         let (stamp, worker) = (self.bed.now, Some(self.worker(number)));
         let running = self.running[number as usize].clone();
         let notice = Notice::Status { stamp, worker, fenced: true, running, ended: Vec::new() };
-        self.bed.owner.notice(number, notice, self.bed.now);
+        self.bed.owner.on_notice(number, notice, self.bed.now);
     }
 
     pub fn submit(&mut self, name: &'static str, job: Job, version: u64) {
-        self.bed.owner.job(name, job, version, None);
+        self.bed.owner.add_job(name, job, version, None);
     }
 
     /// Another entry owns from now on, and knows what was recorded.
     pub fn take_over(&mut self, epoch: u64, jobs: Vec<(&'static str, Job)>) {
         let now = self.bed.now;
-        self.bed.owner = Owner::open(*SETTINGS, epoch, CLAIM * epoch, now);
-        self.bed.owner.former_ended();
+        self.bed.owner = Owner::new(*SETTINGS, epoch, CLAIM * epoch, now);
+        self.bed.owner.predecessor_ended();
         for number in 0..self.lives.len() as u64 {
             self.bed.owner.agent(&format!("w{number}"), now);
         }
         for (name, job) in jobs {
             let progress = self.recorded.get(name).cloned();
-            self.bed.owner.job(name, job, CLAIM, progress);
+            self.bed.owner.add_job(name, job, CLAIM, progress);
         }
         for number in 0..self.lives.len() as u64 {
             self.bed.link(number);
@@ -132,7 +132,7 @@
                 self.look = now + 1000;
                 self.look_at_all();
             }
-            self.bed.owner.confirm(now);
+            self.bed.owner.confirm_ownership(now);
             self.bed.owner.tick(now, now);
             self.carry_out();
             if let Some(batch) = self.bed.owner.record() {
@@ -150,13 +150,13 @@
                 self.report(number);
             }
             let notice = Notice::Ping { stamp: self.bed.now, silent: 0 };
-            self.bed.owner.notice(number, notice, self.bed.now);
+            self.bed.owner.on_notice(number, notice, self.bed.now);
         }
     }
 
     pub fn carry_out(&mut self) {
         let mut fresh: Vec<(u64, Task, u64)> = Vec::new();
-        for output in self.bed.owner.outputs() {
+        for output in self.bed.owner.take_outputs() {
             match output {
                 Output::Send { link, order } => {
                     if let Order::Start { task, run, .. } = order {
@@ -173,7 +173,7 @@
         for (number, task, run) in fresh.clone() {
             let running = bed::run(task.clone(), run);
             self.running[number as usize].push(running);
-            self.bed.owner.notice(number, Notice::Started { task, run }, self.bed.now);
+            self.bed.owner.on_notice(number, Notice::Started { task, run }, self.bed.now);
         }
         let bad = |task: &Task| self.bad.contains(&task.job.as_str());
         let mut crashed: Vec<u64> =
@@ -192,11 +192,11 @@
         self.back.push((self.bed.now + AWAY, number));
         let worker = self.worker(number);
         let notice = Notice::Broke { worker: worker.incarnation(), starts };
-        self.bed.owner.notice(number, notice, self.bed.now);
+        self.bed.owner.on_notice(number, notice, self.bed.now);
         let (stamp, running) = (self.bed.now, std::mem::take(&mut self.running[number as usize]));
         let (worker, ended) = (Some(worker), Vec::new());
         let notice = Notice::Status { stamp, worker, fenced: false, running, ended };
-        self.bed.owner.notice(number, notice, self.bed.now);
+        self.bed.owner.on_notice(number, notice, self.bed.now);
     }
 
     pub fn list(&mut self) {
--- a/crates/dispatch/tests/recalled.rs
+++ b/crates/dispatch/tests/recalled.rs
@@ -37,17 +37,17 @@
         ended: Vec::new(),
     };
     bed.notice(2, status(&[], bed.now));
-    bed.owner.job("a", job(1, vec![step(2, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(2, 8)]), 150, None);
     bed.pass(100);
     bed.notice(2, status(&[run(task("a", 0, 1), 1)], bed.now));
     let began = bed.told().contains("w2 start a.0.0.1");
     bed.owner.recorded(&batch, true);
     bed.pass(100);
     let told = bed.told();
-    bed.owner.notice(2, Notice::Ping { stamp: bed.now, silent: 0 }, bed.now);
+    bed.owner.on_notice(2, Notice::Ping { stamp: bed.now, silent: 0 }, bed.now);
     let granted = bed
         .owner
-        .outputs()
+        .take_outputs()
         .iter()
         .any(|output| matches!(output, Output::Send { link: 2, order: Order::Grant { .. } }));
     let gone = batch.gone.join(" ");
--- a/crates/dispatch/tests/refusals.rs
+++ b/crates/dispatch/tests/refusals.rs
@@ -17,8 +17,8 @@
 #[test]
 fn a_start_that_takes_effect_opens_a_worker_that_refused_another() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
-    bed.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("b", job(1, vec![step(1, 1)]), 151, None);
     bed.step();
     bed.told();
     bed.notice(0, Notice::Unstarted { task: task("a", 0, 0), run: 1, why: Refused::Busy });
@@ -58,7 +58,7 @@
 #[test]
 fn a_worker_that_refuses_a_start_is_left_alone_for_a_while() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     bed.step();
     assert_snapshot!(format!("{:?}", refuse(&mut bed, 5000)), @"[0, 50, 150, 350, 750, 1550, 3150, 4750]");
 }
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -19,7 +19,7 @@
     let mut bed = Bed::open(1, 1);
     bed.link(0);
     report(&mut bed, 1, &[], &[]);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     report(&mut bed, 1, &[], &[end(1, task("a", 0, 0), 1, How::Done)]);
     bed.record();
@@ -37,7 +37,7 @@
 #[test]
 fn an_end_of_a_worker_that_started_again_counts() {
     let mut bed = started_again();
-    bed.owner.job("b", job(1, vec![step(1, 8)]), 160, None);
+    bed.owner.add_job("b", job(1, vec![step(1, 8)]), 160, None);
     bed.step();
     report(&mut bed, 2, &[run(task("b", 0, 0), 1)], &[]);
     report(&mut bed, 2, &[], &[end(1, task("b", 0, 0), 1, How::Broken)]);
@@ -54,7 +54,7 @@
 #[test]
 fn a_start_that_a_former_incarnation_never_listed_is_stopped_before_it_starts_elsewhere() {
     let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     let ordered = bed.told();
     report(&mut bed, 2, &[], &[]);
@@ -74,7 +74,7 @@
 #[test]
 fn a_run_that_a_former_incarnation_listed_starts_elsewhere_at_once() {
     let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
     bed.told();
@@ -88,7 +88,7 @@
 #[test]
 fn a_task_outlives_its_start_though_its_agents_clock_began_anew() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     bed.step();
     bed.events = vec!["crash suspected"];
     for stamp in [500_000, 1000, 1400] {
@@ -111,7 +111,7 @@
     report(&mut bed, 1, &[], &[]);
     let mut cleared = job(1, vec![step(1, 8)]);
     cleared.queue.advice = Some(Advice { decide: 100, each: 10, ..Advice::default() });
-    bed.owner.job("a", cleared, 150, None);
+    bed.owner.add_job("a", cleared, 150, None);
     bed.step();
     let question = bed.questions.remove(0);
     report(&mut bed, 2, &[], &[]);
--- a/crates/dispatch/tests/room.rs
+++ b/crates/dispatch/tests/room.rs
@@ -12,7 +12,7 @@
 
 /// A worker that is full with a run of `job`, which began `age` ms ago.
 fn fill(bed: &mut Bed, number: u64, name: &str, priority: u32, age: u64) {
-    bed.owner.job(name, job(priority, vec![step(1, 8)]), 150 + number, None);
+    bed.owner.add_job(name, job(priority, vec![step(1, 8)]), 150 + number, None);
     bed.status(number, &[], &[]);
     bed.status(number, &[run(task(name, 0, 0), 1)], &[]);
     bed.told();
@@ -38,7 +38,7 @@
     guarantee(&mut bed, 8);
     fill(&mut bed, 0, "old", 1, 1500);
     fill(&mut bed, 1, "young", 1, 200);
-    bed.owner.job("g", urgent(vec![step(1, 8)], bed.now), 200, None);
+    bed.owner.add_job("g", urgent(vec![step(1, 8)], bed.now), 200, None);
     bed.step();
     let stopped = bed.told();
     bed.status(1, &[], &[end(1, task("young", 0, 0), 1, How::Stopped)]);
@@ -55,7 +55,7 @@
     let mut bed = Bed::open(1, 1).idle(1);
     guarantee(&mut bed, 8);
     fill(&mut bed, 0, "young", 1, 200);
-    bed.owner.job("g", urgent(vec![step(1, 8)], bed.now), 200, None);
+    bed.owner.add_job("g", urgent(vec![step(1, 8)], bed.now), 200, None);
     bed.step();
     bed.events = vec!["run ended"];
     bed.status(0, &[], &[end(1, task("young", 0, 0), 1, How::Stopped)]);
@@ -69,12 +69,12 @@
 fn beyond_the_guarantee_room_is_taken_only_where_little_is_lost() {
     let mut bed = Bed::open(1, 1).idle(1);
     fill(&mut bed, 0, "old", 1, 2300);
-    bed.owner.job("u", urgent(vec![step(1, 8)], bed.now), 200, None);
+    bed.owner.add_job("u", urgent(vec![step(1, 8)], bed.now), 200, None);
     bed.step();
     let at_a_loss = bed.told();
     let mut bed = Bed::open(1, 1).idle(1);
     fill(&mut bed, 0, "young", 1, 1500);
-    bed.owner.job("u", urgent(vec![step(1, 8)], bed.now), 200, None);
+    bed.owner.add_job("u", urgent(vec![step(1, 8)], bed.now), 200, None);
     bed.step();
     assert_snapshot!(format!("old: {at_a_loss}\nyoung: {}", bed.told()), @r"
     old: nothing
@@ -88,7 +88,7 @@
 fn a_late_job_takes_no_room() {
     let mut bed = Bed::open(1, 1).idle(1);
     fill(&mut bed, 0, "young", 1, 200);
-    bed.owner.job("late", urgent(vec![step(1, 8)], bed.now - 2000), 200, None);
+    bed.owner.add_job("late", urgent(vec![step(1, 8)], bed.now - 2000), 200, None);
     bed.step();
     assert_snapshot!(bed.told(), @r"nothing");
 }
@@ -98,7 +98,7 @@
     let mut bed = Bed::open(1, 1).idle(1);
     guarantee(&mut bed, 8);
     fill(&mut bed, 0, "equal", 0, 200);
-    bed.owner.job("g", urgent(vec![step(1, 8)], bed.now), 200, None);
+    bed.owner.add_job("g", urgent(vec![step(1, 8)], bed.now), 200, None);
     bed.step();
     assert_snapshot!(bed.told(), @r"nothing");
 }
@@ -116,7 +116,7 @@
     fill(&mut bed, 0, "own", 0, 100);
     fill(&mut bed, 1, "borrowed", 0, 100);
     let theirs = Job { team: "other".into(), ..urgent(vec![step(1, 8)], bed.now) };
-    bed.owner.job("g", theirs, 200, None);
+    bed.owner.add_job("g", theirs, 200, None);
     bed.step();
     let at_once = bed.told();
     bed.pass(1100);
@@ -133,13 +133,13 @@
 #[test]
 fn a_run_that_is_all_but_done_is_waited_for() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("old", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("old", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     bed.pass(800);
     let listed = Run { percent: 80, ..run(task("old", 0, 0), 1) };
     bed.status(0, &[listed], &[]);
     bed.told();
-    bed.owner.job("u", urgent(vec![step(1, 8)], bed.now), 200, None);
+    bed.owner.add_job("u", urgent(vec![step(1, 8)], bed.now), 200, None);
     bed.step();
     let waiting = bed.told();
     bed.pass(200);
@@ -161,10 +161,10 @@
     fill(&mut bed, 0, "young", 1, 100);
     fill(&mut bed, 1, "old", 1, 900);
     let other = Job { team: "other".into(), ..urgent(vec![step(1, 8)], bed.now) };
-    bed.owner.job("u", other, 200, None);
+    bed.owner.add_job("u", other, 200, None);
     bed.step();
     let first = bed.told();
-    bed.owner.job("g", urgent(vec![step(1, 8)], bed.now), 201, None);
+    bed.owner.add_job("g", urgent(vec![step(1, 8)], bed.now), 201, None);
     bed.step();
     assert_snapshot!(format!("{first}\n-- guaranteed\n{}", bed.told()), @r"
     w1 stop old.0.0.0 run 1
@@ -185,7 +185,7 @@
         Job { accepted: now, ..job }
     };
     for number in 0..6 {
-        bed.owner.job(&format!("easy{number}"), easy(bed.now), 150 + number, None);
+        bed.owner.add_job(&format!("easy{number}"), easy(bed.now), 150 + number, None);
     }
     bed.step();
     let at_first = bed.told().lines().count();
@@ -210,13 +210,13 @@
 fn a_job_of_which_nothing_runs_does_not_stand_still_beside_a_pool_that_is_half_free() {
     let mut bed = Bed::open(1, 4).idle(4);
     for number in 1..4 {
-        bed.owner.job(&format!("small{number}"), job(0, vec![step(1, 5)]), 140 + number, None);
+        bed.owner.add_job(&format!("small{number}"), job(0, vec![step(1, 5)]), 140 + number, None);
         bed.step();
     }
     bed.told();
     let mut easy = job(1, vec![Step { estimate: 9000, ..step(1, 8) }]);
     easy.queue.stretch = 3.0;
-    bed.owner.job("easy", Job { accepted: bed.now, ..easy }, 150, None);
+    bed.owner.add_job("easy", Job { accepted: bed.now, ..easy }, 150, None);
     bed.step();
     let at_first = bed.told();
     bed.pass(1600);
@@ -239,12 +239,12 @@
     bed.owner.configure(&Config { version: 1, teams, ..Config::default() });
     let mut gang = urgent(vec![Step { gang: true, ..step(2, 8) }], bed.now);
     gang.team = "u".into();
-    bed.owner.job("begun", gang, 150, None);
+    bed.owner.add_job("begun", gang, 150, None);
     bed.step();
     (0..2).for_each(|at| bed.status(at, &[run(task("begun", 0, at as u32), 1)], &[]));
     bed.pass(1000);
     bed.told();
-    bed.owner.job("waits", urgent(vec![step(1, 8)], bed.now), 200, None);
+    bed.owner.add_job("waits", urgent(vec![step(1, 8)], bed.now), 200, None);
     let mut told = String::new();
     for _ in 0..Settings::default().reclaim / 100 {
         bed.live(100, 2);
@@ -274,7 +274,7 @@
             bed.status(0, &[], &[end(9, task("c", 0, 0), 1, How::Stopped)]);
         }
         let job = Job { team: name.into(), ..urgent(vec![step(1, 8)], bed.now) };
-        bed.owner.job(name, job, at, None);
+        bed.owner.add_job(name, job, at, None);
         for _ in 0..27 {
             bed.live(100, 1);
             let lines = bed.told();
@@ -316,11 +316,11 @@
     fill(&mut bed, 0, "low", 1, 500);
     fill(&mut bed, 1, "firm", 0, 500);
     let owed = Job { team: "v".into(), ..urgent(vec![step(1, 8)], bed.now) };
-    bed.owner.job("owed", owed, 200, None);
+    bed.owner.add_job("owed", owed, 200, None);
     bed.step();
     let first = bed.told();
     let older = Job { team: "u".into(), ..urgent(vec![step(1, 8)], bed.now - 300) };
-    bed.owner.job("older", older, 190, None);
+    bed.owner.add_job("older", older, 190, None);
     bed.live(100, 2);
     bed.status(0, &[], &[end(1, task("low", 0, 0), 1, How::Stopped)]);
     bed.live(100, 2);
--- a/crates/dispatch/tests/rowless.rs
+++ b/crates/dispatch/tests/rowless.rs
@@ -22,7 +22,7 @@
     // The dial that follows within 100 ms, and the worker's next life.
     bed.link(0);
     bed.status(0, &[], &[]);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     bed.pass(1000);
     let before = bed.told();
     // Its row is read again.
@@ -51,7 +51,7 @@
     bed.told();
     bed.link(0);
     bed.status(0, &[], &[]);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     bed.pass(1000);
     assert_snapshot!(bed.told(), @"close 0");
 }
--- a/crates/dispatch/tests/saved.rs
+++ b/crates/dispatch/tests/saved.rs
@@ -15,7 +15,7 @@
 fn played() -> (Bed, Vec<String>) {
     let mut bed = Bed::open(1, 1).idle(1);
     let saving = Step { checkpoints: true, estimate: 9000, ..step(1, 1) };
-    bed.owner.job("a", job(1, vec![saving]), 150, None);
+    bed.owner.add_job("a", job(1, vec![saving]), 150, None);
     bed.step();
     let mut told = Vec::new();
     for (ms, saved) in [(1600, "c1"), (500, "c2"), (500, "c3"), (600, "c3"), (1600, "c3")] {
@@ -45,15 +45,15 @@
 fn a_job_goes_on_from_its_record_where_no_worker_remembers() {
     let mut before = Bed::open(1, 1).idle(1);
     let saving = Step { checkpoints: true, estimate: 9000, ..step(1, 1) };
-    before.owner.job("a", job(1, vec![saving.clone()]), 50, None);
+    before.owner.add_job("a", job(1, vec![saving.clone()]), 50, None);
     before.step();
     before.pass(1600);
     listed(&mut before, "c1");
     let batch = before.record();
     let mut bed = Bed::open(2, 1);
-    bed.owner.job("a", job(1, vec![saving]), 50, None);
+    bed.owner.add_job("a", job(1, vec![saving]), 50, None);
     for (id, saved) in &batch.saved {
-        bed.owner.restore(id, saved);
+        bed.owner.restore_checkpoints(id, saved);
     }
     bed.link(0);
     bed.status(0, &[], &[]);
--- a/crates/dispatch/tests/shut.rs
+++ b/crates/dispatch/tests/shut.rs
@@ -20,13 +20,13 @@
     bed.owner.configure(&Config { version: 1, teams, ..Config::default() });
     for number in 0..2 {
         let name = format!("low{number}");
-        bed.owner.job(&name, job(1, vec![step(1, 6)]), 150 + number, None);
+        bed.owner.add_job(&name, job(1, vec![step(1, 6)]), 150 + number, None);
         bed.status(number, &[run(low(number), 1)], &[]);
         bed.pass(200);
     }
-    bed.owner.job("tiny", job(1, vec![step(2, 2)]), 160, None);
+    bed.owner.add_job("tiny", job(1, vec![step(2, 2)]), 160, None);
     bed.step();
-    bed.owner.job("high", job(0, vec![step(1, 6)]), 200, None);
+    bed.owner.add_job("high", job(0, vec![step(1, 6)]), 200, None);
     bed.step();
     let made = bed.told();
     bed.notice(1, Notice::Unstarted { task: task("tiny", 0, 1), run: 1, why: Refused::Busy });
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -15,11 +15,11 @@
 #[test]
 fn older_jobs_wait_until_every_agent_has_reported() {
     let mut bed = Bed::open(2, 2);
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    bed.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     bed.link(0);
     bed.status(0, &[], &[]);
     bed.link(1);
-    bed.owner.job("new", job(1, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("new", job(1, vec![step(1, 1)]), 150, None);
     bed.step();
     let first = bed.told();
     bed.status(1, &[run(task("old", 0, 0), 7)], &[]);
@@ -34,7 +34,7 @@
 #[test]
 fn an_agent_that_stays_away_holds_older_jobs_until_its_leases_have_lapsed() {
     let mut bed = Bed::open(2, 2);
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    bed.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     bed.link(0);
     bed.status(0, &[], &[]);
     for _ in 0..4 {
@@ -55,7 +55,7 @@
 #[test]
 fn an_agent_that_knows_no_worker_has_not_reported() {
     let mut bed = Bed::open(2, 2);
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    bed.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     bed.link(0);
     bed.status(0, &[], &[]);
     bed.link(1);
@@ -79,8 +79,8 @@
 #[test]
 fn an_owner_whose_former_life_owned_waits_for_no_more_than_a_lease() {
     let mut bed = Bed::open(2, 4);
-    bed.owner.former_ended();
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    bed.owner.predecessor_ended();
+    bed.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     bed.link(0);
     bed.status(0, &[], &[]);
     for _ in 0..3 {
@@ -113,7 +113,7 @@
 #[test]
 fn ends_that_a_former_owner_did_not_record_count() {
     let mut bed = Bed::open(2, 1);
-    bed.owner.job("old", job(1, vec![step(1, 1), step(1, 1)]), 50, None);
+    bed.owner.add_job("old", job(1, vec![step(1, 1), step(1, 1)]), 50, None);
     bed.link(0);
     bed.status(0, &[], &[end(3, task("old", 0, 0), 1, How::Done)]);
     bed.pass(100);
@@ -132,18 +132,18 @@
 fn a_job_that_ended_is_not_begun_anew_when_its_rows_are_told_again() {
     let mut bed = Bed::open(1, 1).idle(1);
     let done = job(1, vec![step(1, 1)]);
-    bed.owner.job("a", done.clone(), 150, None);
+    bed.owner.add_job("a", done.clone(), 150, None);
     bed.step();
     bed.status(0, &[], &[end(1, task("a", 0, 0), 1, How::Done)]);
     bed.record();
     bed.told();
-    bed.owner.job("a", done.clone(), 150, None);
+    bed.owner.add_job("a", done.clone(), 150, None);
     bed.step();
     let again = bed.told();
-    bed.owner.dropped(&["a".to_owned()]);
-    bed.owner.loaded(200);
-    bed.owner.job("old", done.clone(), 199, None);
-    bed.owner.job("new", done, 201, None);
+    bed.owner.remove_ended_jobs(&["a".to_owned()]);
+    bed.owner.jobs_loaded(200);
+    bed.owner.add_job("old", done.clone(), 199, None);
+    bed.owner.add_job("new", done, 201, None);
     bed.step();
     assert_snapshot!(format!("{again}\n{}", bed.told()), @r"
     nothing
--- a/crates/dispatch/tests/throttle.rs
+++ b/crates/dispatch/tests/throttle.rs
@@ -15,8 +15,8 @@
     let mut bed = Bed::open(1, 1).idle(1);
     let serves = Step { perpetual: true, target: 100, ..step(1, 1) };
     let fills = Step { fills: true, estimate: 60_000, ..step(1, 1) };
-    bed.owner.job("serves", job(1, vec![serves]), 150, None);
-    bed.owner.job("fills", job(2, vec![fills]), 151, None);
+    bed.owner.add_job("serves", job(1, vec![serves]), 150, None);
+    bed.owner.add_job("fills", job(2, vec![fills]), 151, None);
     bed.step();
     bed.told();
     bed
@@ -50,7 +50,7 @@
 fn no_more_tasks_of_a_step_that_lasts_are_taken_away_than_may_be_missing() {
     let mut bed = Bed::open(1, 3).idle(3);
     let lasts = Step { perpetual: true, may_miss: 1, ..step(3, 8) };
-    bed.owner.job("lasts", job(1, vec![lasts]), 150, None);
+    bed.owner.add_job("lasts", job(1, vec![lasts]), 150, None);
     bed.step();
     let at_work = |index| Run { percent: 100, ..bed::run(task("lasts", 0, index), 1) };
     for number in 0..3u32 {
@@ -65,7 +65,7 @@
     };
     let mut told = Vec::new();
     for (number, name) in [(200, "u"), (201, "v")] {
-        bed.owner.job(name, urgent(bed.now), number, None);
+        bed.owner.add_job(name, urgent(bed.now), number, None);
         bed.step();
         told.push(format!("{name}: {}", bed.told()));
     }
--- a/crates/dispatch/tests/unlisted.rs
+++ b/crates/dispatch/tests/unlisted.rs
@@ -14,7 +14,7 @@
 #[test]
 fn a_run_that_an_idle_worker_does_not_list_is_stopped_and_starts_again() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
     bed.pass(100);
--- a/crates/dispatch/tests/unproven.rs
+++ b/crates/dispatch/tests/unproven.rs
@@ -32,14 +32,14 @@
 #[test]
 fn a_job_that_is_told_twice_or_late_stays_one() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.loaded(100);
+    bed.owner.jobs_loaded(100);
     let row = job(1, vec![step(1, 1)]);
     for version in [150, 150, 90] {
-        bed.owner.job("a", row.clone(), version, None);
+        bed.owner.add_job("a", row.clone(), version, None);
         bed.step();
     }
     bed.owner.cancel("a", bed.now);
-    bed.owner.job("a", row, 150, None);
+    bed.owner.add_job("a", row, 150, None);
     bed.step();
     assert_snapshot!(bed.told());
 }
@@ -50,12 +50,12 @@
 #[test]
 fn an_owner_is_sure_of_itself_for_a_while_after_a_write() {
     let mut bed = Bed::open(1, 1);
-    let claimed = bed.owner.surely_owns(bed.now);
-    bed.owner.renew(bed.now);
+    let claimed = bed.owner.holds_ownership(bed.now);
+    bed.owner.renew_ownership(bed.now);
     let told: Vec<bool> =
-        [0, 400, 499, 500, 5000].map(|ms| bed.owner.surely_owns(bed.now + ms)).to_vec();
-    bed.owner.renew(bed.now - 300);
-    let earlier = bed.owner.surely_owns(bed.now + 300);
+        [0, 400, 499, 500, 5000].map(|ms| bed.owner.holds_ownership(bed.now + ms)).to_vec();
+    bed.owner.renew_ownership(bed.now - 300);
+    let earlier = bed.owner.holds_ownership(bed.now + 300);
     assert_snapshot!(format!("{claimed} {told:?} {earlier}"), @r"
     false [true, true, true, false, false] true
     ");
--- a/crates/dispatch/tests/upkeep.rs
+++ b/crates/dispatch/tests/upkeep.rs
@@ -108,14 +108,14 @@
 fn a_busy_machine_takes_nothing_new_and_goes_down_once_idle_or_when_time_presses() {
     let mut bed = Bed::open(1, 1).idle(1);
     pass(&mut bed, 3000, 1);
-    bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     bed.step();
     bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
     bed.told();
     bed.owner.wave(&wave(1, 1, 10_000), None, bed.now);
     list(&mut bed, &[Condition::Up]);
     bed.step();
-    bed.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
+    bed.owner.add_job("b", job(1, vec![step(1, 1)]), 151, None);
     pass(&mut bed, 500, 1);
     let busy = bed.told();
     for percent in [20, 30, 40, 50, 60, 70] {
@@ -136,7 +136,7 @@
     let mut bed = Bed::open(1, 2).idle(2);
     pass(&mut bed, 3000, 2);
     let lasts = Step { perpetual: true, may_miss: 1, ..step(2, 8) };
-    bed.owner.job("a", job(1, vec![lasts]), 150, None);
+    bed.owner.add_job("a", job(1, vec![lasts]), 150, None);
     bed.step();
     let at_work = |index| Run { percent: 100, ..run(task("a", 0, index), 1) };
     bed.status(0, &[at_work(0)], &[]);
@@ -186,7 +186,7 @@
     bed.step();
     bed.owner.taken(1, "m0", Taken::Begun, bed.now);
     bed.told();
-    bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    bed.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
     let before = bed.told();
     pass(&mut bed, 500, 1);
--- a/crates/dispatch/tests/waits.rs
+++ b/crates/dispatch/tests/waits.rs
@@ -20,7 +20,7 @@
 /// Adds a job that was accepted now.
 fn add(bed: &mut Bed, id: &str, version: u64, job: Job) {
     let accepted = bed.now;
-    bed.owner.job(id, Job { accepted, ..job }, version, None);
+    bed.owner.add_job(id, Job { accepted, ..job }, version, None);
     bed.step();
 }
 
@@ -218,11 +218,11 @@
         add(&mut bed, name, number, job(1, vec![step(1, 8), step(2, 16)]));
     }
     bed.live(900, 1);
-    let before = format!("{:?}", bed.owner.waiting());
+    let before = format!("{:?}", bed.owner.long_waits());
     bed.live(100, 1);
-    let after = format!("{:?}", bed.owner.waiting());
+    let after = format!("{:?}", bed.owner.long_waits());
     bed.owner.cancel("c", bed.now);
-    let cancelled = format!("{:?}", bed.owner.waiting());
+    let cancelled = format!("{:?}", bed.owner.long_waits());
     assert_snapshot!(format!("{before}\n{after}\n{cancelled}"), @r"
     {}
     {Few: 3, Room: 2}
@@ -268,7 +268,7 @@
 fn many_that_wait_are_told_a_few_a_second_and_how_many_were_left_out() {
     let mut bed = open(1);
     for number in 10..35 {
-        bed.owner.job(&format!("a{number}"), job(1, vec![step(1, 16)]), 150 + number, None);
+        bed.owner.add_job(&format!("a{number}"), job(1, vec![step(1, 16)]), 150 + number, None);
     }
     bed.step();
     let mut told = Vec::new();
@@ -295,8 +295,8 @@
 fn a_new_owner_tells_once_whom_older_jobs_wait_for_and_why() {
     let mut bed = Bed::open(2, 4);
     bed.events = vec!["waits", "unsettled", "settled"];
-    bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
-    bed.owner.job("older", job(1, vec![step(1, 1), step(1, 1)]), 49, None);
+    bed.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
+    bed.owner.add_job("older", job(1, vec![step(1, 1), step(1, 1)]), 49, None);
     for number in [0, 2, 3] {
         bed.link(number);
     }
@@ -333,11 +333,11 @@
 fn what_waited_for_members_goes_on_to_wait_for_another_cause() {
     let mut bed = Bed::open(2, 2);
     bed.events = vec!["waits", "unsettled", "settled"];
-    bed.owner.job("old", job(1, vec![step(1, 16)]), 50, None);
+    bed.owner.add_job("old", job(1, vec![step(1, 16)]), 50, None);
     bed.link(0);
     bed.status(0, &[], &[]);
     bed.live(1500, 1);
-    let counts = format!("{:?}", bed.owner.waiting());
+    let counts = format!("{:?}", bed.owner.long_waits());
     bed.link(1);
     bed.status(1, &[], &[]);
     assert_snapshot!(format!("{counts}\n{}", bed.logged()), @r"
--- a/crates/entry/src/site/follow.rs
+++ b/crates/entry/src/site/follow.rs
@@ -234,7 +234,7 @@
 pub(crate) fn tell_job(owner: &mut Owner, mirror: &Mirror, id: &str, now: u64) {
     let Some(view) = mirror.jobs.get(id) else { return };
     let Some((job, version)) = &view.job else { return };
-    owner.job(id, job.clone(), *version, view.progress.clone());
+    owner.add_job(id, job.clone(), *version, view.progress.clone());
     if view.cancelled {
         owner.cancel(id, now);
     }
--- a/crates/entry/src/site/links.rs
+++ b/crates/entry/src/site/links.rs
@@ -70,7 +70,7 @@
         Event::Frame { link, frame: Notice::Entry(peer) } => hear_entry(shared, link, peer),
         Event::Frame { link, frame } => {
             if let Some(owner) = shared.owner.borrow_mut().as_mut() {
-                owner.notice(link, frame, now);
+                owner.on_notice(link, frame, now);
             }
         }
         Event::Undialled { address, error } => {
--- a/crates/entry/src/site/news.rs
+++ b/crates/entry/src/site/news.rs
@@ -37,7 +37,7 @@
     let now = quincewheel_clock::boot();
     let mut owner = shared.owner.borrow_mut();
     let Some(owner) = owner.as_mut() else { return };
-    if owner.surely_owns(now) {
+    if owner.holds_ownership(now) {
         let mirror = shared.mirror.borrow();
         tell_job(owner, &mirror, id, now);
         shared.wake.notify_one();
--- a/crates/entry/src/site/own.rs
+++ b/crates/entry/src/site/own.rs
@@ -122,9 +122,9 @@
     // Else others may have taken over by now.
     let Some(known) = known else { return };
     let now = quincewheel_clock::boot();
-    let mut owner = Owner::open(settings(shared), mine.epoch, claimed, now);
+    let mut owner = Owner::new(settings(shared), mine.epoch, claimed, now);
     if ended {
-        owner.former_ended();
+        owner.predecessor_ended();
     }
     if let Some(config) = shared.config.borrow().as_ref() {
         owner.configure(config);
@@ -136,19 +136,19 @@
     for (name, _) in mirror.nodes.iter().filter(|(_, node)| !node.entry) {
         owner.agent(name, now);
     }
-    owner.remember(&mirror.times);
+    owner.restore_times(&mirror.times);
     for (id, view) in &mirror.jobs {
         if let Some((job, version)) = &view.job {
-            owner.job(id, job.clone(), *version, view.progress.clone());
-            owner.restore(id, &view.saved);
+            owner.add_job(id, job.clone(), *version, view.progress.clone());
+            owner.restore_checkpoints(id, &view.saved);
             if view.cancelled {
                 owner.cancel(id, now);
             }
         }
     }
-    owner.loaded(known);
+    owner.jobs_loaded(known);
     let ms = now - sent;
-    log::info!(event = "owner", epoch = mine.epoch, jobs = owner.active(), ms = ms; "took over");
+    log::info!(event = "owner", epoch = mine.epoch, jobs = owner.active_jobs(), ms = ms; "took over");
     *shared.held.borrow_mut() = Some((mine, claimed));
     *shared.owner.borrow_mut() = Some(owner);
     drop(mirror);
@@ -203,7 +203,7 @@
     let changed = former != read.bounds;
     log::info!(event = "reload", changed = changed; "{:?}", read.bounds);
     if let Some(owner) = shared.owner.borrow_mut().as_mut().filter(|_| changed) {
-        owner.tune(settings(shared));
+        owner.update_settings(settings(shared));
     }
 }
 
@@ -237,7 +237,7 @@
         shared.unrecorded.notify_one();
     }
     let mut deposed = None;
-    for output in current.outputs() {
+    for output in current.take_outputs() {
         match output {
             Output::Send { link, order } => {
                 if !shared.hub.ask(Command::Send { link, frame: Sent::Order(order) }) {
--- a/crates/entry/src/site/record.rs
+++ b/crates/entry/src/site/record.rs
@@ -98,7 +98,7 @@
                 version = written;
                 let mut owner = shared.owner.borrow_mut();
                 if let Some(owner) = owner.as_mut().filter(|owner| owner.epoch() == mine.epoch) {
-                    owner.renew(sent);
+                    owner.renew_ownership(sent);
                 }
                 drop(owner);
                 finish(shared, batch, &mine, version, sent);
@@ -133,7 +133,7 @@
 
 fn drop_rows(shared: &Site, expired: &[Id]) {
     if let Some(owner) = shared.owner.borrow_mut().as_mut() {
-        owner.dropped(expired);
+        owner.remove_ended_jobs(expired);
     }
 }
 
@@ -144,7 +144,7 @@
         return;
     }
     *shared.held.borrow_mut() = Some((mine.clone(), version));
-    owner.confirm(sent);
+    owner.confirm_ownership(sent);
     owner.recorded(batch, true);
     news::prove(shared, owner, version);
     let mut mirror = shared.mirror.borrow_mut();
--- a/crates/entry/src/site/state.rs
+++ b/crates/entry/src/site/state.rs
@@ -200,8 +200,8 @@
         self.metrics.table_lost.set(i64::from(self.table_lost.get().is_some()));
         let owner = self.owner.borrow();
         self.metrics.epoch.set(owner.as_ref().map_or(0, |owner| owner.epoch() as i64));
-        self.metrics.jobs.set(owner.as_ref().map_or(0, |owner| owner.active() as i64));
-        self.metrics.waiting(&owner.as_ref().map(Owner::waiting).unwrap_or_default());
+        self.metrics.jobs.set(owner.as_ref().map_or(0, |owner| owner.active_jobs() as i64));
+        self.metrics.waiting(&owner.as_ref().map(Owner::long_waits).unwrap_or_default());
         self.metrics.unlisted(owner.as_ref().map_or(0, Owner::unlisted_runs));
         self.metrics.evacuated(owner.as_ref().map(Owner::evacuated).unwrap_or_default());
     }
--- a/crates/runner/tests/gone.rs
+++ b/crates/runner/tests/gone.rs
@@ -24,7 +24,7 @@
 fn a_gang_with_a_member_at_a_lost_worker_is_called_back_at_once() {
     let mut world = idle(4);
     world.sides[0].mood = Mood::Gone;
-    world.owner.job("gang", gang(3), 150, None);
+    world.owner.add_job("gang", gang(3), 150, None);
     world.pass(3000);
     assert_snapshot!(world.told(), @r"
     1100 ms: w0 start gang.0.0.0 run 1
@@ -46,7 +46,7 @@
     let mut world = idle(2);
     world.sides[0].mood = Mood::Gone;
     world.pass(4000);
-    world.owner.job("new", job(1), 150, None);
+    world.owner.add_job("new", job(1), 150, None);
     world.pass(1000);
     assert_snapshot!(world.told(), @"5100 ms: w1 start new.0.0.0 run 1");
 }
@@ -58,7 +58,7 @@
     let mut world = idle(1);
     world.sides[0].mood = Mood::Gone;
     world.pass(4000);
-    world.owner.job("new", job(1), 150, None);
+    world.owner.add_job("new", job(1), 150, None);
     world.pass(1000);
     let before = world.told();
     world.sides[0].mood = Mood::Sound;
@@ -79,7 +79,7 @@
     let mut world = idle(2);
     world.reborn(0);
     world.pass(2000);
-    world.owner.job("new", job(1), 150, None);
+    world.owner.add_job("new", job(1), 150, None);
     world.pass(1000);
     let before = world.told();
     world.late_report(0);
--- a/crates/runner/tests/leases.rs
+++ b/crates/runner/tests/leases.rs
@@ -18,7 +18,7 @@
     world.pass(1000);
     world.confirmed = false;
     world.pass(14_000);
-    world.owner.job("new", job(1), 150, None);
+    world.owner.add_job("new", job(1), 150, None);
     world.pass(1000);
     let before = world.told();
     world.confirmed = true;
--- a/crates/runner/tests/past.rs
+++ b/crates/runner/tests/past.rs
@@ -26,7 +26,7 @@
     world.late_report(0);
     world.pass(20_000);
     // The other worker is full, so that only the first has room.
-    world.owner.job("new", job(16), 150, None);
+    world.owner.add_job("new", job(16), 150, None);
     world.pass(5000);
     let told = world.told();
     let first = told.lines().filter(|line| line.contains("w0 start")).count();
@@ -44,7 +44,7 @@
     }
     world.reborn(0);
     world.pass(2000);
-    world.owner.job("new", job(1), 150, None);
+    world.owner.add_job("new", job(1), 150, None);
     world.pass(1000);
     world.restart(0);
     world.pass(500);
@@ -76,7 +76,7 @@
     world.pass(2000);
     world.late_report(0);
     world.pass(20_000);
-    world.owner.job("new", job(16), 150, None);
+    world.owner.add_job("new", job(16), 150, None);
     world.pass(5000);
     let told = world.told();
     let first = told.lines().filter(|line| line.contains("w0 start")).count();
--- a/crates/runner/tests/refusals.rs
+++ b/crates/runner/tests/refusals.rs
@@ -13,7 +13,7 @@
 #[test]
 fn older_jobs_start_though_an_agent_has_lost_its_worker_for_good() {
     let mut world = World::open(2, 2);
-    world.owner.job("old", job(1), 50, None);
+    world.owner.add_job("old", job(1), 50, None);
     world.report(0);
     world.link(0);
     world.link(1);
@@ -32,7 +32,7 @@
 #[test]
 fn older_jobs_start_though_a_worker_refuses_every_look() {
     let mut world = World::open(2, 2);
-    world.owner.job("old", job(1), 50, None);
+    world.owner.add_job("old", job(1), 50, None);
     world.sides[1].mood = Mood::Refusing;
     for number in 0..2 {
         world.report(number);
@@ -60,7 +60,7 @@
     }
     world.pass(1000);
     world.sides[0].mood = Mood::Refusing;
-    world.owner.job("new", job(1), 150, None);
+    world.owner.add_job("new", job(1), 150, None);
     world.pass(14_000);
     assert_snapshot!(world.told(), @r"
     1100 ms: w0 start new.0.0.0 run 1
--- a/crates/runner/tests/repeated.rs
+++ b/crates/runner/tests/repeated.rs
@@ -19,7 +19,7 @@
     }
     world.pass(1000);
     world.sides[0].mood = Mood::Late(2000);
-    world.owner.job("new", job(1), 150, None);
+    world.owner.add_job("new", job(1), 150, None);
     world.pass(1200);
     world.sides[0].mood = Mood::Refusing;
     world.pass(500);
@@ -48,7 +48,7 @@
     }
     world.pass(1000);
     world.sides[0].mood = Mood::Late(3000);
-    world.owner.job("new", job(1), 150, None);
+    world.owner.add_job("new", job(1), 150, None);
     world.pass(500);
     world.sides[0].mood = Mood::RefusingStarts;
     world.restart(0);
--- a/crates/runner/tests/restarts.rs
+++ b/crates/runner/tests/restarts.rs
@@ -15,7 +15,7 @@
     world.report(0);
     world.link(0);
     world.pass(1000);
-    world.owner.job("a", job(3), 150, None);
+    world.owner.add_job("a", job(3), 150, None);
     world.pass(1000);
     world.finish(0, "a");
     world.pass(2000);
@@ -36,8 +36,8 @@
     world.start_again(0);
     world.report(0);
     world.pass(500);
-    world.owner.job("b", job(1), 160, None);
-    world.owner.job("goes-on", job(1), 161, None);
+    world.owner.add_job("b", job(1), 160, None);
+    world.owner.add_job("goes-on", job(1), 161, None);
     world.pass(500);
     world.finish(0, "b");
     world.pass(20_000);
@@ -60,7 +60,7 @@
     }
     world.pass(1000);
     world.sides[0].mood = Mood::Late(8000);
-    world.owner.job("a", gang(1), 150, None);
+    world.owner.add_job("a", gang(1), 150, None);
     world.pass(4000);
     world.start_again(0);
     world.report(0);
--- a/crates/runner/tests/storms.rs
+++ b/crates/runner/tests/storms.rs
@@ -16,7 +16,7 @@
     world.link(0);
     world.pass(1000);
     world.sides[0].mood = Mood::RefusingStarts;
-    world.owner.job("new", job(1), 150, None);
+    world.owner.add_job("new", job(1), 150, None);
     world.pass(30_000);
     let told = world.told();
     let starts = told.lines().filter(|line| line.contains("start")).count();
--- a/crates/runner/tests/world/mod.rs
+++ b/crates/runner/tests/world/mod.rs
@@ -52,7 +52,7 @@
     /// An owner under `epoch` that has just claimed and knows the agents of so many
     /// workers, to which it is not connected yet.
     pub fn open(epoch: u64, workers: usize) -> World {
-        let mut owner = Owner::open(self::bounds(), epoch, CLAIM, BEGIN);
+        let mut owner = Owner::new(self::bounds(), epoch, CLAIM, BEGIN);
         for number in 0..workers {
             owner.agent(&format!("w{number}"), BEGIN);
         }
@@ -75,14 +75,14 @@
     /// A client submits a job.
     pub fn submit(&mut self, name: &str, job: Job, version: u64) {
         self.jobs.push((name.to_owned(), job.clone(), version));
-        self.owner.job(name, job, version, None);
+        self.owner.add_job(name, job, version, None);
     }
 
     /// Another entry owns from now on, and knows what was recorded.
     pub fn take_over(&mut self, epoch: u64) {
         let now = self.now;
-        self.owner = Owner::open(self::bounds(), epoch, CLAIM * 10 * epoch, now);
-        self.owner.former_ended();
+        self.owner = Owner::new(self::bounds(), epoch, CLAIM * 10 * epoch, now);
+        self.owner.predecessor_ended();
         // It has read all rows.
         self.owner.evacuate(&self.operators, now);
         for number in 0..self.sides.len() {
@@ -90,7 +90,7 @@
         }
         for (name, job, version) in &self.jobs {
             let progress = self.recorded.get(name).cloned();
-            self.owner.job(name, job.clone(), *version, progress);
+            self.owner.add_job(name, job.clone(), *version, progress);
         }
         for number in 0..self.sides.len() {
             self.link(number);
@@ -210,7 +210,7 @@
                 self.wake(number);
             }
             if self.confirmed {
-                self.owner.confirm(self.now);
+                self.owner.confirm_ownership(self.now);
             }
             if self.reads {
                 self.owner.evacuate(&self.operators, self.now);
@@ -252,7 +252,7 @@
     fn exchange(&mut self) {
         for _ in 0..ROUNDS {
             let mut quiet = true;
-            for decision in self.owner.outputs() {
+            for decision in self.owner.take_outputs() {
                 if let Decision::Send { link, order } = decision {
                     quiet = false;
                     self.note(link, &order);
@@ -279,7 +279,7 @@
         for output in outputs {
             match output {
                 Output::Call { id, call } => side.calls.push((side.due(&call, now), id, call)),
-                Output::Send { link, notice } => self.owner.notice(link, notice, now),
+                Output::Send { link, notice } => self.owner.on_notice(link, notice, now),
                 // The owner notices, and dials again within its next step.
                 Output::Close { link } => {
                     self.owner.unlinked(link);
