--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -54,7 +54,7 @@
             return;
         }
         let group = group(candidate);
-        let Some((cause, room)) = self.diagnose(&group, left, &snapshot.spots, bars) else {
+        let Some((cause, room)) = self.wait_cause(&group, left, &snapshot.spots, bars) else {
             return;
         };
         self.waits.note(group, (left, cause), room, now);
@@ -62,7 +62,7 @@
 
     /// Why so many tasks of a step do not start on these workers, how many fit
     /// now, and how many would if nothing ran.
-    pub(crate) fn diagnose(
+    pub(crate) fn wait_cause(
         &self,
         (id, occurrence, number): &Group,
         tasks: usize,
