--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -39,7 +39,7 @@
     /// Where steps are cleared to run, on queues that need it.
     pub clearances: BTreeMap<(u32, u32), Clearance>,
     /// All tasks of its first step have begun: what a guarantee promises in time is kept.
-    pub first_step_begun: bool,
+    pub has_begun: bool,
     /// Room that was guaranteed to it was taken for a guarantee that nothing else could keep.
     pub guarantee_preempted: bool,
     /// Room that is being made for a step.
@@ -201,8 +201,8 @@
     }
 
     /// Takes note of whether all tasks of its first step have begun.
-    pub fn update_first_step_begun(&mut self, id: &str) {
-        let Some(step) = self.job.steps.first().filter(|_| !self.first_step_begun) else {
+    pub fn update_has_begun(&mut self, id: &str) {
+        let Some(step) = self.job.steps.first().filter(|_| !self.has_begun) else {
             return;
         };
         let begun = |index: u32| {
@@ -210,7 +210,7 @@
             let confirmed = self.runs.get(&key).is_some_and(|placed| placed.confirmed_at.is_some());
             confirmed || self.progress.done(&task(id, key))
         };
-        self.first_step_begun = (0..step.count).all(begun);
+        self.has_begun = (0..step.count).all(begun);
     }
 
     /// True if a run of the step may exist.
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -216,7 +216,7 @@
             step_durations: BTreeMap::new(),
             avoided_workers: BTreeMap::new(),
             clearances: BTreeMap::new(),
-            first_step_begun: false,
+            has_begun: false,
             guarantee_preempted: false,
             reservations: BTreeMap::new(),
             survived_start: BTreeSet::new(),
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -19,7 +19,7 @@
     pub(crate) fn plan(&mut self, now: u64, wall: u64) {
         for (id, entry) in &mut self.jobs {
             if entry.job.queue.priority == 0 {
-                entry.update_first_step_begun(id);
+                entry.update_has_begun(id);
             }
             entry.idle_since = entry.runs.is_empty().then(|| entry.idle_since.unwrap_or(now));
         }
--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -43,7 +43,7 @@
         let snapshot = self.snapshot(now);
         let bars = vec![Bar::Open; snapshot.spots.len()];
         for (group, wait) in waits {
-            let found = self.wait_cause(&group, wait.tasks, &snapshot.spots, &bars);
+            let found = self.cause(&group, wait.tasks, &snapshot.spots, &bars);
             let changed = |cause: &Cause| cause.is_lack() || wait.cause.is_lack();
             if let Some((cause, room)) = found.filter(|(cause, _)| changed(cause)) {
                 self.waits.note(group, (wait.tasks, cause), room, now);
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -109,7 +109,7 @@
         let last = last_call(begin, self.settings.reclaim, self.settings.stop);
         let claim = reclaim(&snapshot.spots, &ask).or_else(|| {
             let others = Ask { over: Hold::Guaranteed, sure: false, ..ask };
-            let pressing = due && wall >= last && !entry.first_step_begun;
+            let pressing = due && wall >= last && !entry.has_begun;
             pressing.then(|| reclaim(&snapshot.spots, &others)).flatten()
         });
         let Some(claim) = claim else {
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -53,16 +53,16 @@
         if left == 0 || self.record_reserved_wait(candidate, now) {
             return;
         }
-        let group = group(candidate);
-        let Some((cause, room)) = self.wait_cause(&group, left, &snapshot.spots, bars) else {
+        let key = group(candidate);
+        let Some((cause, room)) = self.cause(&key, left, &snapshot.spots, bars) else {
             return;
         };
-        self.waits.note(group, (left, cause), room, now);
+        self.waits.note(key, (left, cause), room, now);
     }
 
     /// Why so many tasks of a step do not start on these workers, how many fit
     /// now, and how many would if nothing ran.
-    pub(crate) fn wait_cause(
+    pub(crate) fn cause(
         &self,
         (id, occurrence, number): &Group,
         tasks: usize,
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -138,8 +138,8 @@
                 };
                 // One that gave its guaranteed room up once does not again: all would begin, and
                 // none end.
-                let yields = hold != Hold::Guaranteed
-                    || (entry.first_step_begun && !entry.guarantee_preempted);
+                let yields =
+                    hold != Hold::Guaranteed || (entry.has_begun && !entry.guarantee_preempted);
                 let ending = !step.perpetual && entry.unit_ends_soon(placed, &self.settings, now);
                 if ending {
                     spots[place].ending.give(&need);
