--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -202,9 +202,7 @@
 
     /// Takes note of whether all tasks of its first step have begun.
     pub fn update_has_begun(&mut self, id: &str) {
-        let Some(step) = self.job.steps.first().filter(|_| !self.has_begun) else {
-            return;
-        };
+        let Some(step) = self.job.steps.first().filter(|_| !self.has_begun) else { return };
         let begun = |index: u32| {
             let key = (0, 0, index);
             let confirmed = self.runs.get(&key).is_some_and(|placed| placed.confirmed_at.is_some());
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -54,9 +54,7 @@
             return;
         }
         let key = group(candidate);
-        let Some((cause, room)) = self.cause(&key, left, &snapshot.spots, bars) else {
-            return;
-        };
+        let Some((cause, room)) = self.cause(&key, left, &snapshot.spots, bars) else { return };
         self.waits.note(key, (left, cause), room, now);
     }
 
