--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -21,7 +21,7 @@
 use quincewheel_peer::{Command, Event, Hub};
 use quincewheel_platform::{self as platform, Bounds, Report, Skipped, Table};
 use quincewheel_ring as ring;
-use quincewheel_runner::{Announcement, Beat, Output, Runner, Settings};
+use quincewheel_runner::{Announcement, Heartbeat, Output, Runner, Settings};
 use quincewheel_store::Error;
 use quincewheel_wire::{Hello, Key, Notice, Order, Role, list_starts};
 use tokio::sync::Notify;
@@ -188,8 +188,8 @@
         match report {
             Report::Beat { worker, address, clock, number } => {
                 agent.started.note(&worker);
-                let beat = Beat { worker: &worker, address: &address, clock, number };
-                agent.runner.borrow_mut().beat(&beat, now);
+                let heartbeat = Heartbeat { worker: &worker, address: &address, clock, number };
+                agent.runner.borrow_mut().on_heartbeat(&heartbeat, now);
                 agent.reported.notify_one();
             }
             Report::Leave { worker } => agent.runner.borrow_mut().leave(&worker, now),
--- a/crates/runner/src/beat.rs
+++ b/crates/runner/src/heartbeat.rs
@@ -2,7 +2,7 @@
 
 /// A report of the worker about itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Beat<'a> {
+pub struct Heartbeat<'a> {
     /// What it is.
     pub worker: &'a Worker,
     /// Where it takes calls.
--- a/crates/runner/src/incarnations.rs
+++ b/crates/runner/src/incarnations.rs
@@ -3,9 +3,9 @@
 use quincewheel_job::{Incarnation, Worker};
 use quincewheel_wire::Notice;
 
-use crate::beat::Beat;
 use crate::call::Action;
 use crate::crashed::Crashed;
+use crate::heartbeat::Heartbeat;
 use crate::pending::Pending;
 use crate::rival::Rival;
 use crate::runner::Runner;
@@ -17,8 +17,8 @@
 
 impl Runner {
     /// The worker reported itself.
-    pub fn beat(&mut self, beat: &Beat<'_>, now: u64) {
-        let Beat { worker, address, clock, number } = *beat;
+    pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat<'_>, now: u64) {
+        let Heartbeat { worker, address, clock, number } = *heartbeat;
         // An incarnation that was replaced does not come back; a report of it was held up
         // on its way. Believed, all that runs on the incarnation that is there would be
         // taken for lost, and would start elsewhere beside itself.
--- a/crates/runner/src/lib.rs
+++ b/crates/runner/src/lib.rs
@@ -8,10 +8,10 @@
 //! wakes up would extend leases that its owner took for lapsed.
 
 mod announcement;
-mod beat;
 mod call;
 mod crashed;
 mod crashes;
+mod heartbeat;
 mod incarnations;
 mod lease;
 mod looks;
@@ -25,8 +25,8 @@
 mod unanswered;
 
 pub use announcement::Announcement;
-pub use beat::Beat;
 pub use call::{Action, Call, Fault, Reply};
+pub use heartbeat::Heartbeat;
 pub use lease::Lease;
 pub use runner::{Output, Runner};
 pub use settings::Settings;
--- a/crates/runner/tests/alone.rs
+++ b/crates/runner/tests/alone.rs
@@ -1,7 +1,7 @@
 //! An agent whose connection to its owner carries nothing any more.
 
 use quincewheel_job::Worker;
-use quincewheel_runner::{Action, Beat, Output, Reply, Runner, Settings};
+use quincewheel_runner::{Action, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::Order;
 
 // Symptom: a sound worker gets nothing, by this owner or any later one. Sequence: a cut
@@ -15,12 +15,12 @@
 fn an_agent_that_hears_nothing_from_its_owner_is_alone() {
     let mut runner = Runner::open(Settings::default());
     let worker = Worker { id: "i1".into(), pool: "p".into(), ..Worker::default() };
-    runner.beat(&beat(&worker, "10.0.0.1:80", 50_000), 1000);
+    runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 50_000), 1000);
     runner.order(1, Order::Claim { epoch: 1 }, 1000);
     let mut alone = None;
     for now in (1000..61_000).step_by(100) {
         if now % 1500 == 0 {
-            runner.beat(&beat(&worker, "10.0.0.1:80", 49_000 + now), now);
+            runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 49_000 + now), now);
         }
         runner.tick(now);
         for output in runner.outputs() {
@@ -49,6 +49,6 @@
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
--- a/crates/runner/tests/announcement.rs
+++ b/crates/runner/tests/announcement.rs
@@ -2,7 +2,7 @@
 
 use insta::assert_snapshot;
 use quincewheel_job::Worker;
-use quincewheel_runner::{Action, Announcement, Beat, Call, Output, Reply, Runner, Settings};
+use quincewheel_runner::{Action, Announcement, Call, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Order, Refused};
 
 /// An agent whose worker runs under an owner.
@@ -35,7 +35,7 @@
 
     fn report(&mut self, id: &str) {
         let worker = Worker { id: id.into(), pool: "p".into(), ..Worker::default() };
-        self.runner.beat(&beat(&worker, "10.0.0.1:80", 50_000 + self.now), self.now);
+        self.runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 50_000 + self.now), self.now);
         self.drain();
     }
 
@@ -109,6 +109,6 @@
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
--- a/crates/runner/tests/broke.rs
+++ b/crates/runner/tests/broke.rs
@@ -2,7 +2,7 @@
 
 use insta::assert_snapshot;
 use quincewheel_job::{Run, Task, Worker};
-use quincewheel_runner::{Action, Beat, Fault, Output, Reply, Runner, Settings};
+use quincewheel_runner::{Action, Fault, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Notice, Order, Refused, list_starts};
 
 /// An agent whose worker is fenced and runs nothing.
@@ -32,7 +32,7 @@
 
     fn report(&mut self, id: &str) {
         let worker = Worker { id: id.into(), pool: "p".into(), ..Worker::default() };
-        self.runner.beat(&beat(&worker, "10.0.0.1:80", 50_000 + self.now), self.now);
+        self.runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 50_000 + self.now), self.now);
         self.drain();
     }
 
@@ -206,7 +206,7 @@
     bed.started();
     bed.answer(bed.look, closed());
     let worker = Worker { id: "i1".into(), pool: "p".into(), draining: true, ..Worker::default() };
-    bed.runner.beat(&beat(&worker, "10.0.0.1:80", 51_000 + bed.now), bed.now);
+    bed.runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 51_000 + bed.now), bed.now);
     bed.drain();
     let before = bed.fenced;
     bed.pass(300);
@@ -290,6 +290,6 @@
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
--- a/crates/runner/tests/capacity.rs
+++ b/crates/runner/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! Workers whose capacity shrinks and grows while they run.
 
 use quincewheel_job::{Need, Worker};
-use quincewheel_runner::{Beat, Output, Runner, Settings};
+use quincewheel_runner::{Heartbeat, Output, Runner, Settings};
 use quincewheel_wire::{Notice, Order};
 
 fn worker(accelerators: u64) -> Worker {
@@ -28,19 +28,19 @@
 #[test]
 fn a_change_of_an_idle_workers_capacity_is_told_at_once() {
     let mut runner = Runner::open(Settings::default());
-    runner.beat(&beat(&worker(8), "10.0.0.1:80", 50_000), 1000);
+    runner.on_heartbeat(&heartbeat(&worker(8), "10.0.0.1:80", 50_000), 1000);
     runner.order(1, Order::Claim { epoch: 1 }, 1000);
     runner.outputs();
-    runner.beat(&beat(&worker(3), "10.0.0.1:80", 51_500), 2500);
+    runner.on_heartbeat(&heartbeat(&worker(3), "10.0.0.1:80", 51_500), 2500);
     let shrunk = told(&mut runner);
-    runner.beat(&beat(&worker(3), "10.0.0.1:80", 53_000), 4000);
+    runner.on_heartbeat(&heartbeat(&worker(3), "10.0.0.1:80", 53_000), 4000);
     let same = told(&mut runner);
-    runner.beat(&beat(&worker(8), "10.0.0.1:80", 54_500), 5500);
+    runner.on_heartbeat(&heartbeat(&worker(8), "10.0.0.1:80", 54_500), 5500);
     let grown = told(&mut runner);
     assert_eq!((shrunk, same, grown), (vec![3], Vec::new(), vec![8]));
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
--- a/crates/runner/tests/lives.rs
+++ b/crates/runner/tests/lives.rs
@@ -1,7 +1,7 @@
 //! Reports that come late.
 
 use quincewheel_job::{Run, Task, Worker};
-use quincewheel_runner::{Action, Beat, Output, Reply, Runner, Settings};
+use quincewheel_runner::{Action, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Notice, Order};
 
 fn worker(id: &str) -> Worker {
@@ -15,10 +15,10 @@
 #[test]
 fn a_late_report_of_a_former_life_does_not_replace_the_later_one() {
     let mut runner = Runner::open(Settings::default());
-    runner.beat(&beat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
+    runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
     runner.order(1, Order::Claim { epoch: 1 }, 1000);
     runner.order(1, Order::Grant { stamp: 1000 }, 1000);
-    runner.beat(&beat(&worker("i2"), "10.0.0.1:80", 100), 1500);
+    runner.on_heartbeat(&heartbeat(&worker("i2"), "10.0.0.1:80", 100), 1500);
     let task = Task { job: "j".into(), occurrence: 0, step: 0, index: 0 };
     for output in runner.outputs() {
         if let Output::Call { id, call } = output
@@ -31,7 +31,7 @@
         }
     }
     runner.outputs();
-    runner.beat(&beat(&worker("i1"), "10.0.0.1:80", 50_900), 1600);
+    runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_900), 1600);
     let told: Vec<String> = runner
         .outputs()
         .into_iter()
@@ -51,11 +51,11 @@
 #[test]
 fn a_report_that_names_another_pool_does_not_change_the_worker() {
     let mut runner = Runner::open(Settings::default());
-    runner.beat(&beat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
+    runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
     runner.order(1, Order::Claim { epoch: 1 }, 1000);
     runner.outputs();
     let foreign = Worker { pool: "q".into(), draining: true, ..worker("i1") };
-    runner.beat(&beat(&foreign, "10.0.0.2:80", 50_100), 1100);
+    runner.on_heartbeat(&heartbeat(&foreign, "10.0.0.2:80", 50_100), 1100);
     let sent = runner.outputs().into_iter().filter(|out| matches!(out, Output::Send { .. }));
     assert_eq!(sent.count(), 0);
 }
@@ -65,10 +65,10 @@
 #[test]
 fn a_late_report_of_a_life_that_is_over_costs_no_look() {
     let mut runner = Runner::open(Settings::default());
-    runner.beat(&beat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
+    runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
     runner.order(1, Order::Claim { epoch: 1 }, 1000);
     runner.leave(&"i1".into(), 1200);
-    runner.beat(&beat(&worker("i2"), "10.0.0.1:80", 100), 1500);
+    runner.on_heartbeat(&heartbeat(&worker("i2"), "10.0.0.1:80", 100), 1500);
     for output in runner.outputs() {
         if let Output::Call { id, call } = output
             && call.worker == "i2"
@@ -78,12 +78,12 @@
         }
     }
     runner.outputs();
-    runner.beat(&beat(&worker("i1"), "10.0.0.1:80", 50_900), 1600);
+    runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_900), 1600);
     let calls = runner.outputs().into_iter().filter(|out| matches!(out, Output::Call { .. }));
     assert_eq!(calls.count(), 0);
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
--- a/crates/runner/tests/restarts.rs
+++ b/crates/runner/tests/restarts.rs
@@ -4,7 +4,7 @@
 
 use insta::assert_snapshot;
 use quincewheel_job::{Incarnation, Task, Worker};
-use quincewheel_runner::{Action, Beat, Fault, Output, Reply, Runner, Settings};
+use quincewheel_runner::{Action, Fault, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Notice, Order};
 use world::{Mood, World, gang, job};
 
@@ -131,8 +131,8 @@
     bed.report(1, true);
     bed.told();
     let earlier = Worker { id: "i".into(), born: 1, pool: "p".into(), ..Worker::default() };
-    let late = beat(&earlier, "10.0.0.1:80", bed.clock(1) - 500);
-    bed.runner.beat(&late, bed.now);
+    let late = heartbeat(&earlier, "10.0.0.1:80", bed.clock(1) - 500);
+    bed.runner.on_heartbeat(&late, bed.now);
     bed.drain();
     assert!(bed.runner.worker().is_some_and(|worker| worker.draining));
     assert_snapshot!(bed.told(), @"nothing");
@@ -337,7 +337,7 @@
         self.now += 1;
         let worker =
             Worker { id: "i".into(), born, pool: "p".into(), draining, ..Worker::default() };
-        self.runner.beat(&beat(&worker, "10.0.0.1:80", self.clock(born)), self.now);
+        self.runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", self.clock(born)), self.now);
         self.drain();
     }
 
@@ -443,6 +443,6 @@
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
--- a/crates/runner/tests/starts.rs
+++ b/crates/runner/tests/starts.rs
@@ -2,7 +2,7 @@
 
 use insta::assert_snapshot;
 use quincewheel_job::{End, Evacuation, How, Need, Run, Task, Worker};
-use quincewheel_runner::{Action, Beat, Call, Fault, Output, Reply, Runner, Settings};
+use quincewheel_runner::{Action, Call, Fault, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Notice, Order, Refused};
 
 struct Bed {
@@ -17,7 +17,7 @@
     fn open() -> Bed {
         let runner = Runner::open(Settings::default());
         let mut bed = Bed { runner, now: 1000, calls: Vec::new(), lines: Vec::new() };
-        bed.runner.beat(&beat(&worker(false), "10.0.0.1:80", 50_000), bed.now);
+        bed.runner.on_heartbeat(&heartbeat(&worker(false), "10.0.0.1:80", 50_000), bed.now);
         bed.order(Order::Claim { epoch: 3 });
         bed.order(Order::Grant { stamp: 1000 });
         bed.held(&[], &[]);
@@ -181,7 +181,7 @@
 #[test]
 fn a_start_that_the_agent_refuses_by_itself_is_settled_with_the_worker() {
     let mut bed = Bed::open();
-    bed.runner.beat(&beat(&worker(true), "10.0.0.1:80", 50_100), bed.now);
+    bed.runner.on_heartbeat(&heartbeat(&worker(true), "10.0.0.1:80", 50_100), bed.now);
     bed.drain();
     bed.start(4);
     bed.answer(ok());
@@ -257,8 +257,8 @@
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
 
 // Symptom: a task starts in a zone that operators evacuate, by an order that was on its way. Sequence: the
--- a/crates/runner/tests/world/mod.rs
+++ b/crates/runner/tests/world/mod.rs
@@ -9,7 +9,7 @@
 
 use quincewheel_dispatch::{Output as Decision, Owner, Settings as Bounds};
 use quincewheel_job::{Evacuation, How, Job, Need, Progress, Queue, Run, Step, Task, Worker};
-use quincewheel_runner::{Beat, Call, Fault, Output, Runner, Settings};
+use quincewheel_runner::{Call, Fault, Heartbeat, Output, Runner, Settings};
 use quincewheel_wire::Order;
 
 use side::clock;
@@ -108,7 +108,7 @@
         let side = &mut self.sides[number];
         let zone = side.zone.clone();
         let worker = Worker { born: side.born, zone, ..worker(number, side.lives) };
-        side.runner.beat(&beat(&worker, "10.0.0.1:80", side.clock(now)), now);
+        side.runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", side.clock(now)), now);
         side.report = Some(now + REPORTS);
     }
 
@@ -173,7 +173,7 @@
     pub fn late_report(&mut self, number: usize) {
         let now = self.now;
         let late = worker(number, 0);
-        self.sides[number].runner.beat(&beat(&late, "10.0.0.1:80", clock(now)), now);
+        self.sides[number].runner.on_heartbeat(&heartbeat(&late, "10.0.0.1:80", clock(now)), now);
     }
 
     /// A worker reports no more.
@@ -346,6 +346,6 @@
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
