--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -118,7 +118,7 @@
         Ok(read) => {
             log::info!(event = "reload"; "{:?}", read.bounds);
             grace.set(read.bounds.grace);
-            agent.runner.borrow_mut().tune(bounded(&read.bounds));
+            agent.runner.borrow_mut().update_settings(bounded(&read.bounds));
         }
         Err(error) => log::warn!(event = "reload"; "{error}; the former settings stay"),
     }
@@ -166,7 +166,7 @@
     let mut announcement = Announcement::open();
     loop {
         let now = quincewheel_clock::boot();
-        let incarnations = agent.runner.borrow().incarnations();
+        let incarnations = agent.runner.borrow().incarnation_count();
         let due = announcement.due(&agent.runner.borrow(), rand::random(), now);
         match due {
             None => agent.reported.notified().await,
@@ -192,7 +192,7 @@
                 agent.runner.borrow_mut().on_heartbeat(&heartbeat, now);
                 agent.reported.notify_one();
             }
-            Report::Leave { worker } => agent.runner.borrow_mut().leave(&worker, now),
+            Report::Leave { worker } => agent.runner.borrow_mut().on_leave(&worker, now),
         }
         carry_out(&agent);
         agent.wake.notify_one();
@@ -203,8 +203,8 @@
     while let Some(event) = events.recv().await {
         let now = quincewheel_clock::boot();
         match event {
-            Event::Frame { link, frame } => agent.runner.borrow_mut().order(link, frame, now),
-            Event::Unlinked { link } => agent.runner.borrow_mut().unlinked(link),
+            Event::Frame { link, frame } => agent.runner.borrow_mut().on_order(link, frame, now),
+            Event::Unlinked { link } => agent.runner.borrow_mut().on_disconnect(link),
             Event::Linked { .. } | Event::Undialled { .. } => {}
         }
         carry_out(&agent);
@@ -220,7 +220,7 @@
         agent.metrics.epoch.set(agent.runner.borrow().epoch() as i64);
         carry_out(&agent);
         let now = quincewheel_clock::boot();
-        let wake = agent.runner.borrow().wake(now);
+        let wake = agent.runner.borrow().next_tick(now);
         let pause = Duration::from_millis(wake.saturating_sub(now).max(5));
         let _ = tokio::time::timeout(pause, agent.wake.notified()).await;
     }
@@ -253,9 +253,9 @@
                     agent.metrics.count(&call.action, &answer, ms);
                     let now = quincewheel_clock::boot();
                     agent.health.note(&call, &answer, now);
-                    let incarnations = agent.runner.borrow().incarnations();
-                    agent.runner.borrow_mut().answer(id, answer, now);
-                    if agent.runner.borrow().incarnations() != incarnations {
+                    let incarnations = agent.runner.borrow().incarnation_count();
+                    agent.runner.borrow_mut().on_reply(id, answer, now);
+                    if agent.runner.borrow().incarnation_count() != incarnations {
                         agent.reported.notify_one();
                     }
                     carry_out(&agent);
--- a/crates/runner/src/announcement.rs
+++ b/crates/runner/src/announcement.rs
@@ -36,16 +36,16 @@
     /// The `spread`, 0 to 1, keeps a large deployment that lost its owner from flooding the
     /// table.
     pub fn due(&mut self, runner: &Runner, spread: f64, now: u64) -> Option<u64> {
-        if !runner.is_alone() {
-            *self = Announcement { told: runner.incarnations(), ..Announcement::open() };
+        if !runner.awaits_owner() {
+            *self = Announcement { told: runner.incarnation_count(), ..Announcement::open() };
             return None;
         }
-        if runner.incarnations() != self.told {
+        if runner.incarnation_count() != self.told {
             return Some(now);
         }
         let wait = (self.pause as f64 * (0.5 + spread / 2.0)) as u64;
-        let (at, reports) = *self.wait.get_or_insert((now + wait, runner.reports()));
-        (now < at || runner.reports() > reports).then_some(at)
+        let (at, reports) = *self.wait.get_or_insert((now + wait, runner.heartbeat_count()));
+        (now < at || runner.heartbeat_count() > reports).then_some(at)
     }
 
     /// The row was written, when there had been so many incarnations.
--- a/crates/runner/src/incarnations.rs
+++ b/crates/runner/src/incarnations.rs
@@ -97,7 +97,7 @@
     ///
     /// Where ids are kept, the id alone may be a former incarnation's, whose report was held up.
     /// It is believed of one that has said that it drains, as each does before a planned end.
-    pub fn leave(&mut self, worker: &Incarnation, now: u64) {
+    pub fn on_leave(&mut self, worker: &Incarnation, now: u64) {
         let ends = |known: &Worker| {
             let told = known.is(worker) || (worker.born == 0 && known.draining);
             known.id == worker.id && told
--- a/crates/runner/src/runner.rs
+++ b/crates/runner/src/runner.rs
@@ -15,7 +15,7 @@
 /// What the runner wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Call the worker and hand the answer to [`Runner::answer`].
+    /// Call the worker and hand the answer to [`Runner::on_reply`].
     Call {
         /// Names the call.
         id: u64,
@@ -92,7 +92,7 @@
     }
 
     /// The bounds changed.
-    pub fn tune(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// True if there is a worker and no owner speaks for it.
-    pub fn is_alone(&self) -> bool {
+    pub fn awaits_owner(&self) -> bool {
         self.session.is_some() && self.link.is_none()
     }
 
@@ -117,17 +117,17 @@
     }
 
     /// How many incarnations of the worker have reported.
-    pub fn incarnations(&self) -> u64 {
+    pub fn incarnation_count(&self) -> u64 {
         self.incarnations
     }
 
     /// How many reports of the worker were taken.
-    pub fn reports(&self) -> u64 {
+    pub fn heartbeat_count(&self) -> u64 {
         self.reports
     }
 
     /// An order came.
-    pub fn order(&mut self, link: LinkId, order: Order, now: u64) {
+    pub fn on_order(&mut self, link: LinkId, order: Order, now: u64) {
         if self.link == Some(link) {
             self.spoken = now;
         }
@@ -140,14 +140,14 @@
     }
 
     /// A connection is gone.
-    pub fn unlinked(&mut self, link: LinkId) {
+    pub fn on_disconnect(&mut self, link: LinkId) {
         if self.link == Some(link) {
             self.link = None;
         }
     }
 
     /// The worker answered a call, or did not.
-    pub fn answer(&mut self, id: u64, answer: Result<Reply, Fault>, now: u64) {
+    pub fn on_reply(&mut self, id: u64, answer: Result<Reply, Fault>, now: u64) {
         // A refusal is no such answer: an unhealthy worker that refused every look
         // kept its silence at nothing, and a new owner waited for it without end.
         let proves = matches!(answer, Ok(Reply::Held { .. } | Reply::Done { .. }));
@@ -204,7 +204,7 @@
     ///
     /// Without a connection no ping is due: the agent would wake up 200 times a
     /// second for as long as no owner speaks to it.
-    pub fn wake(&self, now: u64) -> u64 {
+    pub fn next_tick(&self, now: u64) -> u64 {
         let mut wake = now + self.settings.ping;
         if self.link.is_some() {
             wake = wake.min(self.pinged + self.settings.ping);
--- a/crates/runner/tests/alone.rs
+++ b/crates/runner/tests/alone.rs
@@ -16,7 +16,7 @@
     let mut runner = Runner::open(Settings::default());
     let worker = Worker { id: "i1".into(), pool: "p".into(), ..Worker::default() };
     runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 50_000), 1000);
-    runner.order(1, Order::Claim { epoch: 1 }, 1000);
+    runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
     let mut alone = None;
     for now in (1000..61_000).step_by(100) {
         if now % 1500 == 0 {
@@ -27,11 +27,11 @@
             match output {
                 // The owner answers each ping until the cut.
                 Output::Send { link, .. } if now < 5000 => {
-                    runner.order(link, Order::Grant { stamp: now }, now);
+                    runner.on_order(link, Order::Grant { stamp: now }, now);
                 }
                 Output::Call { id, call } if matches!(call.action, Action::Hold { .. }) => {
                     let (running, ended) = (Vec::new(), Vec::new());
-                    runner.answer(
+                    runner.on_reply(
                         id,
                         Ok(Reply::Held { born: 0, clock: 49_000 + now, running, ended }),
                         now,
@@ -40,7 +40,7 @@
                 _ => {}
             }
         }
-        if runner.is_alone() {
+        if runner.awaits_owner() {
             alone.get_or_insert(now - 5000);
         }
     }
--- a/crates/runner/tests/announcement.rs
+++ b/crates/runner/tests/announcement.rs
@@ -21,7 +21,7 @@
         let (now, calls, written) = (1000, Vec::new(), Vec::new());
         let mut bed = Bed { runner, announcement, now, calls, written };
         bed.report("i1");
-        bed.runner.order(1, Order::Claim { epoch: 1 }, bed.now);
+        bed.runner.on_order(1, Order::Claim { epoch: 1 }, bed.now);
         bed.drain();
         bed.answer(Ok(Reply::Held {
             born: 0,
@@ -41,7 +41,7 @@
 
     fn answer(&mut self, answer: Result<Reply, quincewheel_runner::Fault>) {
         let Some((id, _)) = self.calls.pop() else { return };
-        self.runner.answer(id, answer, self.now);
+        self.runner.on_reply(id, answer, self.now);
         self.drain();
     }
 
@@ -59,7 +59,7 @@
             }
         }
         let (lives, due) =
-            (self.runner.incarnations(), self.announcement.due(&self.runner, 1.0, self.now));
+            (self.runner.incarnation_count(), self.announcement.due(&self.runner, 1.0, self.now));
         if due.is_some_and(|at| at <= self.now) {
             self.written.push(format!("{} ms", self.now - 1000));
             self.announcement.written(lives);
@@ -74,7 +74,7 @@
 #[test]
 fn a_new_life_is_announced_as_soon_as_it_is_known() {
     let mut bed = Bed::open();
-    bed.runner.unlinked(1);
+    bed.runner.on_disconnect(1);
     bed.pass(3000);
     bed.report("i2");
     bed.pass(5);
@@ -86,7 +86,7 @@
 #[test]
 fn an_agent_that_stays_alone_writes_its_row_again() {
     let mut bed = Bed::open();
-    bed.runner.unlinked(1);
+    bed.runner.on_disconnect(1);
     for second in 0..80 {
         bed.pass(1000);
         if second % 2 == 0 {
@@ -101,7 +101,7 @@
 #[test]
 fn a_worker_that_reports_no_more_is_not_announced() {
     let mut bed = Bed::open();
-    bed.runner.unlinked(1);
+    bed.runner.on_disconnect(1);
     for _ in 0..80 {
         bed.pass(1000);
     }
--- a/crates/runner/tests/broke.rs
+++ b/crates/runner/tests/broke.rs
@@ -22,8 +22,8 @@
         let runner = Runner::open(Settings::default());
         let mut bed = Bed { runner, now: 1000, look: 0, start: 0, told: Vec::new(), fenced: false };
         bed.report("i1");
-        bed.runner.order(1, Order::Claim { epoch: 1 }, bed.now);
-        bed.runner.order(1, Order::Grant { stamp: bed.now }, bed.now);
+        bed.runner.on_order(1, Order::Claim { epoch: 1 }, bed.now);
+        bed.runner.on_order(1, Order::Grant { stamp: bed.now }, bed.now);
         bed.drain();
         bed.looked(&[]);
         bed.told.clear();
@@ -40,7 +40,7 @@
         let (spec, saved, ticket) = (String::new(), String::new(), String::new());
         let (worker, task) = ("i1".into(), task(index));
         let start = Order::Start { worker, task, run: 1, spec, saved, ticket, again: false };
-        self.runner.order(1, start, self.now);
+        self.runner.on_order(1, start, self.now);
         self.drain();
     }
 
@@ -64,7 +64,7 @@
     }
 
     fn answer(&mut self, id: u64, answer: Result<Reply, Fault>) {
-        self.runner.answer(id, answer, self.now);
+        self.runner.on_reply(id, answer, self.now);
         self.drain();
     }
 
@@ -184,11 +184,11 @@
     bed.order(0);
     bed.started();
     bed.answer(bed.look, closed());
-    bed.runner.order(2, Order::Claim { epoch: 2 }, bed.now);
+    bed.runner.on_order(2, Order::Claim { epoch: 2 }, bed.now);
     bed.drain();
     bed.pass(300);
     bed.looked(&[0]);
-    bed.runner.order(3, Order::Claim { epoch: 3 }, bed.now);
+    bed.runner.on_order(3, Order::Claim { epoch: 3 }, bed.now);
     bed.drain();
     assert_snapshot!(bed.told.join("\n"), @r"
     i1 broke: j.0.0.0 run 1
@@ -221,7 +221,7 @@
     bed.order(0);
     bed.started();
     let (look, start) = (bed.look, bed.start);
-    bed.runner.leave(&"i1".into(), bed.now);
+    bed.runner.on_leave(&"i1".into(), bed.now);
     bed.report("i2");
     bed.answer(look, closed());
     bed.answer(start, closed());
@@ -236,16 +236,16 @@
     let mut bed = Bed::open();
     bed.order(0);
     bed.started();
-    bed.runner.unlinked(1);
+    bed.runner.on_disconnect(1);
     bed.answer(bed.look, closed());
     bed.pass(300);
     bed.answer(bed.look, Ok(Reply::Refused(Refused::Leaving)));
     bed.report("i2");
-    bed.runner.order(2, Order::Claim { epoch: 2 }, bed.now);
+    bed.runner.on_order(2, Order::Claim { epoch: 2 }, bed.now);
     bed.drain();
     let soon = std::mem::take(&mut bed.told).join("\n");
     bed.pass(12_000);
-    bed.runner.order(3, Order::Claim { epoch: 3 }, bed.now);
+    bed.runner.on_order(3, Order::Claim { epoch: 3 }, bed.now);
     bed.drain();
     assert_snapshot!(format!("{soon}\n-- 12 s later\n{}", bed.told.join("\n")), @r"
     i1 broke: j.0.0.0 run 1
--- a/crates/runner/tests/capacity.rs
+++ b/crates/runner/tests/capacity.rs
@@ -29,7 +29,7 @@
 fn a_change_of_an_idle_workers_capacity_is_told_at_once() {
     let mut runner = Runner::open(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker(8), "10.0.0.1:80", 50_000), 1000);
-    runner.order(1, Order::Claim { epoch: 1 }, 1000);
+    runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
     runner.outputs();
     runner.on_heartbeat(&heartbeat(&worker(3), "10.0.0.1:80", 51_500), 2500);
     let shrunk = told(&mut runner);
--- a/crates/runner/tests/lives.rs
+++ b/crates/runner/tests/lives.rs
@@ -16,8 +16,8 @@
 fn a_late_report_of_a_former_life_does_not_replace_the_later_one() {
     let mut runner = Runner::open(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
-    runner.order(1, Order::Claim { epoch: 1 }, 1000);
-    runner.order(1, Order::Grant { stamp: 1000 }, 1000);
+    runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
+    runner.on_order(1, Order::Grant { stamp: 1000 }, 1000);
     runner.on_heartbeat(&heartbeat(&worker("i2"), "10.0.0.1:80", 100), 1500);
     let task = Task { job: "j".into(), occurrence: 0, step: 0, index: 0 };
     for output in runner.outputs() {
@@ -27,7 +27,7 @@
         {
             let run = Run { task: task.clone(), number: 1, saved: "".into(), percent: 1, gauge: 0 };
             let held = Reply::Held { born: 0, clock: 110, running: vec![run], ended: Vec::new() };
-            runner.answer(id, Ok(held), 1510);
+            runner.on_reply(id, Ok(held), 1510);
         }
     }
     runner.outputs();
@@ -52,7 +52,7 @@
 fn a_report_that_names_another_pool_does_not_change_the_worker() {
     let mut runner = Runner::open(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
-    runner.order(1, Order::Claim { epoch: 1 }, 1000);
+    runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
     runner.outputs();
     let foreign = Worker { pool: "q".into(), draining: true, ..worker("i1") };
     runner.on_heartbeat(&heartbeat(&foreign, "10.0.0.2:80", 50_100), 1100);
@@ -66,15 +66,15 @@
 fn a_late_report_of_a_life_that_is_over_costs_no_look() {
     let mut runner = Runner::open(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
-    runner.order(1, Order::Claim { epoch: 1 }, 1000);
-    runner.leave(&"i1".into(), 1200);
+    runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
+    runner.on_leave(&"i1".into(), 1200);
     runner.on_heartbeat(&heartbeat(&worker("i2"), "10.0.0.1:80", 100), 1500);
     for output in runner.outputs() {
         if let Output::Call { id, call } = output
             && call.worker == "i2"
         {
             let held = Reply::Held { born: 0, clock: 110, running: Vec::new(), ended: Vec::new() };
-            runner.answer(id, Ok(held), 1510);
+            runner.on_reply(id, Ok(held), 1510);
         }
     }
     runner.outputs();
--- a/crates/runner/tests/restarts.rs
+++ b/crates/runner/tests/restarts.rs
@@ -75,7 +75,7 @@
     let mut bed = Bed::open(1);
     bed.look(1);
     bed.report(1, true);
-    bed.runner.leave(&"i".into(), bed.now);
+    bed.runner.on_leave(&"i".into(), bed.now);
     bed.report(2, false);
     bed.look(2);
     assert_snapshot!(bed.told(), @r"
@@ -98,8 +98,8 @@
     bed.report(2, false);
     bed.look(2);
     bed.told();
-    bed.runner.leave(&"i".into(), bed.now);
-    bed.runner.leave(&Incarnation { id: "i".into(), born: 1 }, bed.now);
+    bed.runner.on_leave(&"i".into(), bed.now);
+    bed.runner.on_leave(&Incarnation { id: "i".into(), born: 1 }, bed.now);
     bed.drain();
     assert_snapshot!(bed.told(), @r"
     nothing
@@ -185,7 +185,7 @@
     bed.look(1);
     bed.order_start();
     let worker = Incarnation { id: "i".into(), born: 1 };
-    bed.runner.order(1, Order::Seen { worker, number: 3 }, bed.now);
+    bed.runner.on_order(1, Order::Seen { worker, number: 3 }, bed.now);
     bed.drain();
     let mut seen = vec![bed.seen()];
     bed.look(1);
@@ -209,7 +209,7 @@
     let mut bed = Bed::open(1);
     bed.look(1);
     let worker = Incarnation { id: "i".into(), born: 1 };
-    bed.runner.order(1, Order::Seen { worker, number: 3 }, bed.now);
+    bed.runner.on_order(1, Order::Seen { worker, number: 3 }, bed.now);
     bed.drain();
     let before = bed.seen();
     bed.fail();
@@ -322,8 +322,8 @@
         let runner = Runner::open(Settings::default());
         let mut bed = Bed { runner, now: 1000, calls: Vec::new(), told: Vec::new() };
         bed.report(born, false);
-        bed.runner.order(1, Order::Claim { epoch: 1 }, bed.now);
-        bed.runner.order(1, Order::Grant { stamp: bed.now }, bed.now);
+        bed.runner.on_order(1, Order::Claim { epoch: 1 }, bed.now);
+        bed.runner.on_order(1, Order::Grant { stamp: bed.now }, bed.now);
         bed.drain();
         bed
     }
@@ -348,7 +348,7 @@
         for (id, _) in calls {
             let (running, ended) = (Vec::new(), Vec::new());
             let held = Reply::Held { born, clock: self.clock(born), running, ended };
-            self.runner.answer(id, Ok(held), self.now);
+            self.runner.on_reply(id, Ok(held), self.now);
         }
         self.drain();
     }
@@ -363,7 +363,7 @@
     fn confirm_start(&mut self) {
         let starts = |(_, action): &(u64, Action)| matches!(action, Action::Start { .. });
         if let Some((id, _)) = self.calls.iter().find(|call| starts(call)).cloned() {
-            self.runner.answer(id, Ok(Reply::Done { clock: self.clock(self.born()) }), self.now);
+            self.runner.on_reply(id, Ok(Reply::Done { clock: self.clock(self.born()) }), self.now);
         }
         self.drain();
     }
@@ -374,7 +374,7 @@
         let (spec, saved, ticket) = (String::new(), String::new(), String::new());
         let worker = Incarnation { id: "i".into(), born: self.born() };
         let start = Order::Start { worker, task, run: 1, spec, saved, ticket, again: false };
-        self.runner.order(1, start, self.now);
+        self.runner.on_order(1, start, self.now);
         self.drain();
     }
 
@@ -387,7 +387,7 @@
     fn fail(&mut self) {
         for (id, _) in std::mem::take(&mut self.calls) {
             let detail = "closed".to_owned();
-            self.runner.answer(id, Err(Fault::Unclear { closed: true, detail }), self.now);
+            self.runner.on_reply(id, Err(Fault::Unclear { closed: true, detail }), self.now);
         }
         self.drain();
     }
--- a/crates/runner/tests/starts.rs
+++ b/crates/runner/tests/starts.rs
@@ -26,7 +26,7 @@
     }
 
     fn order(&mut self, order: Order) {
-        self.runner.order(1, order, self.now);
+        self.runner.on_order(1, order, self.now);
         self.drain();
     }
 
@@ -56,7 +56,7 @@
         let held = |call: &Call| matches!(call.action, Action::Hold { .. });
         let place = self.calls.iter().position(|(_, call)| !held(call)).expect("a call");
         let (id, _) = self.calls.remove(place);
-        self.runner.answer(id, answer, self.now);
+        self.runner.on_reply(id, answer, self.now);
         self.drain();
     }
 
@@ -67,7 +67,7 @@
         let (id, _) = self.calls.remove(place);
         let clock = 50_000 + self.now;
         let (running, ended) = (running.to_vec(), ended.to_vec());
-        self.runner.answer(id, Ok(Reply::Held { born: 0, clock, running, ended }), self.now);
+        self.runner.on_reply(id, Ok(Reply::Held { born: 0, clock, running, ended }), self.now);
         self.drain();
     }
 
@@ -219,7 +219,7 @@
         if let Action::Hold { until: Some(until), .. } = call.action {
             ends.push(until.to_string());
         }
-        bed.runner.answer(id, silence(), bed.now);
+        bed.runner.on_reply(id, silence(), bed.now);
         bed.pass(300);
     }
     assert_snapshot!(ends.join("\n"), @r"
@@ -240,7 +240,7 @@
     bed.answer(ok());
     bed.told();
     let (id, _) = bed.calls.pop().expect("a look");
-    bed.runner.answer(id, silence(), bed.now);
+    bed.runner.on_reply(id, silence(), bed.now);
     bed.pass(300);
     assert_snapshot!(bed.told(), @r"> hold seen 0 wait 0");
 }
--- a/crates/runner/tests/world/mod.rs
+++ b/crates/runner/tests/world/mod.rs
@@ -136,7 +136,7 @@
         let side = &mut self.sides[number];
         for (_, id, _) in std::mem::take(&mut side.calls) {
             let fault = Fault::Unclear { closed: true, detail: "closed".into() };
-            side.runner.answer(id, Err(fault), now);
+            side.runner.on_reply(id, Err(fault), now);
         }
     }
 
@@ -256,7 +256,7 @@
                 if let Decision::Send { link, order } = decision {
                     quiet = false;
                     self.note(link, &order);
-                    self.sides[link as usize].runner.order(link, order, self.now);
+                    self.sides[link as usize].runner.on_order(link, order, self.now);
                 }
             }
             for number in 0..self.sides.len() {
@@ -294,7 +294,7 @@
         for (_, id, call) in ready {
             busy = true;
             let answer = side.answer(&call, now);
-            side.runner.answer(id, answer, now);
+            side.runner.on_reply(id, answer, now);
         }
         busy
     }
