--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -107,8 +107,8 @@
 
 /// What the platform's bounds mean for the runner.
 fn bounded(bounds: &Bounds) -> Settings {
-    let reports = MISSED * bounds.reports + LATE;
-    Settings { lease: bounds.lease, reports, ..Settings::default() }
+    let heartbeat_timeout = MISSED * bounds.reports + LATE;
+    Settings { lease: bounds.lease, heartbeat_timeout, ..Settings::default() }
 }
 
 /// Takes in the settings file as it is now. Addresses stay as they were until the
--- a/crates/runner/src/crashes.rs
+++ b/crates/runner/src/crashes.rs
@@ -15,7 +15,7 @@
     /// have come since that may be why: a connection may be reset, and the worker crash a moment
     /// later, by what it was told to start in between. True the first time, if it closed an open one.
     pub(crate) fn broke(&mut self, id: u64, closed: bool, now: u64) -> bool {
-        let fresh = self.settings.fresh;
+        let fresh = self.settings.crash_window;
         // The answer to a call of a former incarnation says nothing of this one.
         let made = |session: &&mut Session| session.made(id);
         let Some(session) = self.session.as_mut().filter(made) else { return false };
--- a/crates/runner/src/incarnations.rs
+++ b/crates/runner/src/incarnations.rs
@@ -50,7 +50,7 @@
             Some(session) if session.proven && self.epoch > 0 => {
                 let rival = self.rival.as_ref();
                 let again = rival.is_some_and(|rival| rival.worker.is(&worker.incarnation()));
-                if again && now > session.reported + self.settings.reports {
+                if again && now > session.reported + self.settings.heartbeat_timeout {
                     self.change_session(now);
                     return self.step(now);
                 }
@@ -122,7 +122,7 @@
         // A list that does not say which start it is of is another writer's.
         if born == 0 {
             session.changed = true;
-            session.rest = now + self.settings.pause;
+            session.rest = now + self.settings.retry_delay;
             return;
         }
         let met = Incarnation { id: session.worker.id.clone(), born };
--- a/crates/runner/src/looks.rs
+++ b/crates/runner/src/looks.rs
@@ -24,7 +24,7 @@
                 let seen = session.seen;
                 session.ended.retain(|end| end.number > seen);
                 session.rest =
-                    if session.ended.is_empty() { now } else { now + self.settings.pause };
+                    if session.ended.is_empty() { now } else { now + self.settings.retry_delay };
                 session.reported = now;
                 session.proven = true;
                 session.broke = None;
@@ -48,7 +48,7 @@
             answer => {
                 session.sure = false;
                 session.changed = true;
-                session.rest = now + self.settings.pause;
+                session.rest = now + self.settings.retry_delay;
                 if matches!(answer, Err(Fault::Unsent { .. })) {
                     self.unreachable(now);
                 }
--- a/crates/runner/src/orders.rs
+++ b/crates/runner/src/orders.rs
@@ -17,7 +17,7 @@
             return;
         };
         let action = Action::Pace { task, run, percent };
-        let call = session.call(self.epoch, action, self.settings.answer);
+        let call = session.call(self.epoch, action, self.settings.call_timeout);
         self.outputs.push(Output::Call { id: self.next_call, call });
         self.next_call += 1;
     }
@@ -95,7 +95,7 @@
                 session.rest = now;
                 if start {
                     let (task, run) = pending.run();
-                    session.note_start(task, run, self.settings.fresh, now);
+                    session.note_start(task, run, self.settings.crash_window, now);
                 }
                 self.lease.observe(clock, now);
                 self.close(id, None);
@@ -162,10 +162,10 @@
     /// refuses a start that comes after its stop, so that the task can then safely
     /// start elsewhere.
     fn retry(&mut self, id: u64, now: u64) {
-        let pause = self.settings.pause;
+        let pause = self.settings.retry_delay;
         let Some(session) = &mut self.session else { return };
         let evacuated = self.evacuation.covers(&session.worker.zone);
-        let tries = if evacuated { 1 } else { self.settings.tries };
+        let tries = if evacuated { 1 } else { self.settings.max_start_attempts };
         let Some(pending) = session.orders.get_mut(&id) else { return };
         pending.tries += 1;
         let start = pending.is_start();
--- a/crates/runner/src/runner.rs
+++ b/crates/runner/src/runner.rs
@@ -177,7 +177,7 @@
     /// Time passed.
     pub fn tick(&mut self, now: u64) {
         self.leave_silent(now);
-        if now >= self.pinged + self.settings.ping
+        if now >= self.pinged + self.settings.ping_interval
             && let Some(link) = self.link
         {
             self.pinged = now;
@@ -205,9 +205,9 @@
     /// Without a connection no ping is due: the agent would wake up 200 times a
     /// second for as long as no owner speaks to it.
     pub fn next_tick(&self, now: u64) -> u64 {
-        let mut wake = now + self.settings.ping;
+        let mut wake = now + self.settings.ping_interval;
         if self.link.is_some() {
-            wake = wake.min(self.pinged + self.settings.ping);
+            wake = wake.min(self.pinged + self.settings.ping_interval);
         }
         if let Some(session) = &self.session {
             let again = session.orders.values().filter_map(|pending| pending.again);
@@ -281,7 +281,7 @@
     /// Makes the calls that are due.
     pub(crate) fn step(&mut self, now: u64) {
         let Some(session) = &mut self.session else { return };
-        let quiet = now >= session.reported + self.settings.reports;
+        let quiet = now >= session.reported + self.settings.heartbeat_timeout;
         session.changed |= quiet && session.hold.is_none();
         if !session.busy(self.epoch) && session.orders.is_empty() {
             session.answered = now;
@@ -301,7 +301,7 @@
             {
                 *lease = renewed;
             }
-            let call = session.call(self.epoch, pending.action.clone(), settings.answer);
+            let call = session.call(self.epoch, pending.action.clone(), settings.call_timeout);
             let id = self.next_call;
             self.next_call += 1;
             session.orders.insert(id, pending);
@@ -312,9 +312,9 @@
             let idle = session.running.is_empty() && session.orders.is_empty();
             let seen = session.acknowledged();
             let waits = fresh && !idle && !session.owes_acknowledgement();
-            let wait = if waits { settings.wait } else { 0 };
+            let wait = if waits { settings.poll_wait } else { 0 };
             let action = Action::Hold { seen, until, wait };
-            let call = session.call(self.epoch, action, wait + settings.answer);
+            let call = session.call(self.epoch, action, wait + settings.call_timeout);
             let id = self.next_call;
             self.next_call += 1;
             session.hold = Some((id, self.epoch));
