--- a/crates/agent/src/site/health.rs
+++ b/crates/agent/src/site/health.rs
@@ -35,7 +35,7 @@
         let calls = former.map_or(0, |former| former.calls) + 1;
         self.trouble.set(Some(Trouble { event, since, calls }));
         let worker = call.worker.as_str();
-        log::info!(event = event, worker = worker, fence = call.fence; "{answer:?}");
+        log::info!(event = event, worker = worker, fence = call.fencing_token; "{answer:?}");
     }
 
     fn recover(&self, call: &Call, answer: &Result<Reply, Fault>, now: u64) {
--- a/crates/runner/src/call.rs
+++ b/crates/runner/src/call.rs
@@ -9,7 +9,7 @@
     /// The incarnation of the worker that is meant.
     pub worker: String,
     /// The epoch of the owner, as fencing token.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// What the worker is to do.
     pub action: Action,
     /// Milliseconds after which the call is given up.
@@ -32,7 +32,7 @@
         /// What clears the step for this worker; empty where nothing must.
         ticket: String,
         /// When the lease ends, on the worker's clock.
-        until: u64,
+        lease_end: u64,
     },
     /// Stop a run.
     Stop {
@@ -53,9 +53,9 @@
     /// Tell what runs and what ended, and renew the lease.
     Hold {
         /// Ends up to here are recorded.
-        seen: u64,
+        acknowledged: u64,
         /// When the lease ends, on the worker's clock; none to leave it.
-        until: Option<u64>,
+        lease_end: Option<u64>,
         /// Wait for an end for so many milliseconds.
         wait: u64,
     },
--- a/crates/runner/src/orders.rs
+++ b/crates/runner/src/orders.rs
@@ -29,7 +29,7 @@
         again: bool,
         now: u64,
     ) {
-        let Action::Start { task, run, until: lease, .. } = &mut action else { return };
+        let Action::Start { task, run, lease_end: lease, .. } = &mut action else { return };
         let (task, run) = (task.clone(), *run);
         let until = self.lease.until(now + self.settings.lease);
         let until = until.filter(|_| self.lease.left(now) > self.settings.lease / 4);
--- a/crates/runner/src/runner.rs
+++ b/crates/runner/src/runner.rs
@@ -261,7 +261,7 @@
             Order::Grant { stamp } => self.lease.grant(stamp + self.settings.lease),
             Order::Evacuate { zones } => self.evacuation = zones,
             Order::Start { worker, task, run, spec, saved, ticket, again } => {
-                let action = Action::Start { task, run, spec, saved, ticket, until: 0 };
+                let action = Action::Start { task, run, spec, saved, ticket, lease_end: 0 };
                 self.start(&worker, action, again, now);
             }
             Order::Pace { worker, task, run, percent } => self.pace(&worker, task, run, percent),
@@ -296,7 +296,7 @@
             // earlier one that comes late is not taken for this one's.
             let Some(mut pending) = session.orders.remove(&id) else { continue };
             pending.again = None;
-            if let (Action::Start { until: lease, .. }, Some(renewed)) =
+            if let (Action::Start { lease_end: lease, .. }, Some(renewed)) =
                 (&mut pending.action, until)
             {
                 *lease = renewed;
@@ -310,15 +310,15 @@
         if session.hold.is_none() && session.busy(self.epoch) && now >= session.rest {
             let fresh = session.fenced == self.epoch && session.ended.is_empty();
             let idle = session.running.is_empty() && session.orders.is_empty();
-            let seen = session.acknowledged();
+            let acknowledged = session.acknowledged();
             let waits = fresh && !idle && !session.owes_acknowledgement();
             let wait = if waits { settings.poll_wait } else { 0 };
-            let action = Action::Hold { seen, until, wait };
+            let action = Action::Hold { acknowledged, lease_end: until, wait };
             let call = session.call(self.epoch, action, wait + settings.call_timeout);
             let id = self.next_call;
             self.next_call += 1;
             session.hold = Some((id, self.epoch));
-            session.asked = seen;
+            session.asked = acknowledged;
             session.changed = false;
             self.outputs.push(Output::Call { id, call });
         }
--- a/crates/runner/src/session.rs
+++ b/crates/runner/src/session.rs
@@ -146,11 +146,11 @@
                 || self.orders.values().any(|pending| pending.tries > 0))
     }
 
-    pub fn call(&self, fence: u64, action: Action, timeout: u64) -> Call {
+    pub fn call(&self, fencing_token: u64, action: Action, timeout: u64) -> Call {
         Call {
             address: self.address.clone(),
             worker: self.worker.id.clone(),
-            fence,
+            fencing_token,
             action,
             timeout,
         }
--- a/crates/runner/tests/restarts.rs
+++ b/crates/runner/tests/restarts.rs
@@ -396,8 +396,10 @@
     /// the incarnation that is there.
     fn lease(&self) -> String {
         let mut leases = self.calls.iter().filter_map(|(_, action)| match action {
-            Action::Start { until, .. } => Some(until - self.clock(self.born())),
-            Action::Hold { until, .. } => until.map(|until| until - self.clock(self.born())),
+            Action::Start { lease_end, .. } => Some(lease_end - self.clock(self.born())),
+            Action::Hold { lease_end, .. } => {
+                lease_end.map(|lease_end| lease_end - self.clock(self.born()))
+            }
             _ => None,
         });
         leases.next_back().map_or("none".to_owned(), |left| format!("{left} ms"))
@@ -406,7 +408,7 @@
     /// The number up to which the look that is under way acknowledges ends.
     fn seen(&self) -> String {
         let mut seen = self.calls.iter().filter_map(|(_, action)| match action {
-            Action::Hold { seen, .. } => Some(seen.to_string()),
+            Action::Hold { acknowledged, .. } => Some(acknowledged.to_string()),
             _ => None,
         });
         seen.next_back().unwrap_or("none".to_owned())
--- a/crates/runner/tests/starts.rs
+++ b/crates/runner/tests/starts.rs
@@ -103,9 +103,13 @@
 fn called(call: &Call) -> String {
     match &call.action {
         Action::Pace { task, run, percent } => format!("> pace {task} run {run} at {percent}"),
-        Action::Start { task, run, until, .. } => format!("> start {task} run {run} until {until}"),
+        Action::Start { task, run, lease_end, .. } => {
+            format!("> start {task} run {run} until {lease_end}")
+        }
         Action::Stop { task, run } => format!("> stop {task} run {run}"),
-        Action::Hold { seen, wait, .. } => format!("> hold seen {seen} wait {wait}"),
+        Action::Hold { acknowledged, wait, .. } => {
+            format!("> hold seen {acknowledged} wait {wait}")
+        }
     }
 }
 
@@ -216,8 +220,8 @@
         let stamp = bed.now;
         bed.order(Order::Grant { stamp });
         let (id, call) = bed.calls.pop().expect("a look");
-        if let Action::Hold { until: Some(until), .. } = call.action {
-            ends.push(until.to_string());
+        if let Action::Hold { lease_end: Some(lease_end), .. } = call.action {
+            ends.push(lease_end.to_string());
         }
         bed.runner.on_reply(id, silence(), bed.now);
         bed.pass(300);
--- a/crates/runner/tests/world/side.rs
+++ b/crates/runner/tests/world/side.rs
@@ -127,8 +127,8 @@
         self.late = kept;
         let ready: Vec<(u64, Call)> = ready;
         for (_, call) in ready {
-            let Action::Start { task, run, until, .. } = &call.action else { continue };
-            if *until > self.clock(now) && !self.refuses(task, *run) {
+            let Action::Start { task, run, lease_end, .. } = &call.action else { continue };
+            if *lease_end > self.clock(now) && !self.refuses(task, *run) {
                 let on_time = self.on_time.len();
                 _ = self.carry_out(&call, now);
                 self.on_time.truncate(on_time);
@@ -174,10 +174,10 @@
 
     pub(super) fn carry_out(&mut self, call: &Call, now: u64) -> Result<Reply, Fault> {
         let clock = self.clock(now);
-        if call.fence < self.fence {
+        if call.fencing_token < self.fence {
             return Ok(Reply::Refused(Refused::Fence));
         }
-        self.fence = call.fence;
+        self.fence = call.fencing_token;
         match &call.action {
             Action::Start { task, run, .. } => {
                 if self.has(task, *run) {
@@ -198,9 +198,9 @@
                 self.ended = true;
             }
             Action::Pace { .. } => {}
-            Action::Hold { seen, .. } => {
+            Action::Hold { acknowledged, .. } => {
                 self.ended = false;
-                let noted = self.listed.extract_if(.., |end| end.number <= *seen);
+                let noted = self.listed.extract_if(.., |end| end.number <= *acknowledged);
                 self.noted.extend(noted.filter(|end| end.how == How::Done).map(|end| end.task));
                 for run in &mut self.running {
                     run.percent = (run.percent + 1).min(99);
