--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -167,7 +167,7 @@
     loop {
         let now = quincewheel_clock::boot();
         let incarnations = agent.runner.borrow().incarnation_count();
-        let due = announcement.due(&agent.runner.borrow(), rand::random(), now);
+        let due = announcement.next_write(&agent.runner.borrow(), rand::random(), now);
         match due {
             None => agent.reported.notified().await,
             Some(at) if at > now => {
@@ -176,7 +176,7 @@
             }
             Some(_) => {
                 table.insist(&commit, TIMEOUT, failed).await;
-                announcement.written(incarnations);
+                announcement.on_written(incarnations);
             }
         }
     }
--- a/crates/runner/src/announcement.rs
+++ b/crates/runner/src/announcement.rs
@@ -35,7 +35,7 @@
     /// worker that has not reported since is not announced: a new owner would wait for it.
     /// The `spread`, 0 to 1, keeps a large deployment that lost its owner from flooding the
     /// table.
-    pub fn due(&mut self, runner: &Runner, spread: f64, now: u64) -> Option<u64> {
+    pub fn next_write(&mut self, runner: &Runner, spread: f64, now: u64) -> Option<u64> {
         if !runner.awaits_owner() {
             *self = Announcement { told: runner.incarnation_count(), ..Announcement::open() };
             return None;
@@ -49,7 +49,7 @@
     }
 
     /// The row was written, when there had been so many incarnations.
-    pub fn written(&mut self, incarnations: u64) {
+    pub fn on_written(&mut self, incarnations: u64) {
         let pause = (self.pause * 2).min(LONG_ALONE);
         *self = Announcement { told: incarnations, pause, wait: None };
     }
--- a/crates/runner/src/incarnations.rs
+++ b/crates/runner/src/incarnations.rs
@@ -40,7 +40,7 @@
                 session.worker = worker.clone();
                 session.reported = now;
                 address.clone_into(&mut session.address);
-                self.lease.observe(clock, now);
+                self.lease.set_worker_clock(clock, now);
                 if changed {
                     self.tell_status(now);
                 }
@@ -62,7 +62,7 @@
             }
             _ => {
                 self.replace(worker, address, number, now);
-                self.lease.observe(clock, now);
+                self.lease.set_worker_clock(clock, now);
                 self.tell_status(now);
             }
         }
@@ -71,7 +71,7 @@
 
     /// Another incarnation of the worker is there.
     pub(crate) fn replace(&mut self, worker: &Worker, address: &str, number: u64, now: u64) {
-        self.lease.forget_clock();
+        self.lease.clear_worker_clock();
         self.incarnations += 1;
         self.left = None;
         let mut session = Session::open(worker, address, now);
--- a/crates/runner/src/lease.rs
+++ b/crates/runner/src/lease.rs
@@ -20,7 +20,7 @@
     /// Takes note of the worker's clock. The answer came at `now`, so the
     /// clock was read before, and the lease that is reckoned from it errs
     /// towards early.
-    pub fn observe(&mut self, clock: u64, now: u64) {
+    pub fn set_worker_clock(&mut self, clock: u64, now: u64) {
         self.seen = Some((clock, now));
     }
 
@@ -31,18 +31,18 @@
     }
 
     /// Forgets the worker's clock: another incarnation of the worker has another one.
-    pub fn forget_clock(&mut self) {
+    pub fn clear_worker_clock(&mut self) {
         self.seen = None;
     }
 
     /// Milliseconds of the lease that are left.
-    pub fn left(&self, now: u64) -> u64 {
+    pub fn remaining(&self, now: u64) -> u64 {
         self.end.map_or(0, |end| end.saturating_sub(now))
     }
 
     /// When the lease ends on the worker's clock, but no later than `latest` on
     /// the agent's; none without a grant.
-    pub fn until(&self, latest: u64) -> Option<u64> {
+    pub fn end_on_worker_clock(&self, latest: u64) -> Option<u64> {
         let (clock, at) = self.seen?;
         let left = self.end?.min(latest).saturating_sub(at);
         Some(clock + left * (100 - SLOW) / 100)
--- a/crates/runner/src/looks.rs
+++ b/crates/runner/src/looks.rs
@@ -36,7 +36,7 @@
                 if let Some(late) = self.rival.take() {
                     self.bury(late.worker.incarnation());
                 }
-                self.lease.observe(clock, now);
+                self.lease.set_worker_clock(clock, now);
                 self.tell_status(now);
                 let told: Vec<Stopped> = told;
                 for stop in told {
--- a/crates/runner/src/orders.rs
+++ b/crates/runner/src/orders.rs
@@ -31,8 +31,8 @@
     ) {
         let Action::Start { task, run, lease_end: lease, .. } = &mut action else { return };
         let (task, run) = (task.clone(), *run);
-        let until = self.lease.until(now + self.settings.lease);
-        let until = until.filter(|_| self.lease.left(now) > self.settings.lease / 4);
+        let until = self.lease.end_on_worker_clock(now + self.settings.lease);
+        let until = until.filter(|_| self.lease.remaining(now) > self.settings.lease / 4);
         // A worker that has not reported yet may run all the same; the owner
         // asks again once it has.
         let Some(session) = &mut self.session else { return };
@@ -97,7 +97,7 @@
                     let (task, run) = pending.run();
                     session.note_start(task, run, self.settings.crash_window, now);
                 }
-                self.lease.observe(clock, now);
+                self.lease.set_worker_clock(clock, now);
                 self.close(id, None);
             }
             Err(Fault::Unsent { .. }) if start && !pending.doubtful => {
--- a/crates/runner/src/runner.rs
+++ b/crates/runner/src/runner.rs
@@ -286,7 +286,7 @@
         if !session.busy(self.epoch) && session.orders.is_empty() {
             session.answered = now;
         }
-        let until = self.lease.until(session.answered + self.settings.lease);
+        let until = self.lease.end_on_worker_clock(session.answered + self.settings.lease);
         let settings = &self.settings;
         let due = |pending: &Pending| pending.again.is_some_and(|at| at <= now);
         let ids: Vec<u64> =
--- a/crates/runner/tests/announcement.rs
+++ b/crates/runner/tests/announcement.rs
@@ -58,11 +58,13 @@
                 self.calls.push((id, call));
             }
         }
-        let (lives, due) =
-            (self.runner.incarnation_count(), self.announcement.due(&self.runner, 1.0, self.now));
+        let (lives, due) = (
+            self.runner.incarnation_count(),
+            self.announcement.next_write(&self.runner, 1.0, self.now),
+        );
         if due.is_some_and(|at| at <= self.now) {
             self.written.push(format!("{} ms", self.now - 1000));
-            self.announcement.written(lives);
+            self.announcement.on_written(lives);
         }
     }
 }
