--- a/crates/runner/tests/restarts.rs
+++ b/crates/runner/tests/restarts.rs
@@ -4,7 +4,7 @@
 
 use insta::assert_snapshot;
 use quincewheel_job::{Incarnation, Task, Worker};
-use quincewheel_runner::{Action, Beat, Fault, Output, Reply, Runner, Settings};
+use quincewheel_runner::{Action, Fault, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Notice, Order};
 use world::{Mood, World, gang, job};
 
@@ -75,7 +75,7 @@
     let mut bed = Bed::open(1);
     bed.look(1);
     bed.report(1, true);
-    bed.runner.leave(&"i".into(), bed.now);
+    bed.runner.on_leave(&"i".into(), bed.now);
     bed.report(2, false);
     bed.look(2);
     assert_snapshot!(bed.told(), @r"
@@ -98,8 +98,8 @@
     bed.report(2, false);
     bed.look(2);
     bed.told();
-    bed.runner.leave(&"i".into(), bed.now);
-    bed.runner.leave(&Incarnation { id: "i".into(), born: 1 }, bed.now);
+    bed.runner.on_leave(&"i".into(), bed.now);
+    bed.runner.on_leave(&Incarnation { id: "i".into(), born: 1 }, bed.now);
     bed.drain();
     assert_snapshot!(bed.told(), @r"
     nothing
@@ -131,8 +131,8 @@
     bed.report(1, true);
     bed.told();
     let earlier = Worker { id: "i".into(), born: 1, pool: "p".into(), ..Worker::default() };
-    let late = beat(&earlier, "10.0.0.1:80", bed.clock(1) - 500);
-    bed.runner.beat(&late, bed.now);
+    let late = heartbeat(&earlier, "10.0.0.1:80", bed.clock(1) - 500);
+    bed.runner.on_heartbeat(&late, bed.now);
     bed.drain();
     assert!(bed.runner.worker().is_some_and(|worker| worker.draining));
     assert_snapshot!(bed.told(), @"nothing");
@@ -185,7 +185,7 @@
     bed.look(1);
     bed.order_start();
     let worker = Incarnation { id: "i".into(), born: 1 };
-    bed.runner.order(1, Order::Seen { worker, number: 3 }, bed.now);
+    bed.runner.on_order(1, Order::Seen { worker, number: 3 }, bed.now);
     bed.drain();
     let mut seen = vec![bed.seen()];
     bed.look(1);
@@ -209,7 +209,7 @@
     let mut bed = Bed::open(1);
     bed.look(1);
     let worker = Incarnation { id: "i".into(), born: 1 };
-    bed.runner.order(1, Order::Seen { worker, number: 3 }, bed.now);
+    bed.runner.on_order(1, Order::Seen { worker, number: 3 }, bed.now);
     bed.drain();
     let before = bed.seen();
     bed.fail();
@@ -322,8 +322,8 @@
         let runner = Runner::open(Settings::default());
         let mut bed = Bed { runner, now: 1000, calls: Vec::new(), told: Vec::new() };
         bed.report(born, false);
-        bed.runner.order(1, Order::Claim { epoch: 1 }, bed.now);
-        bed.runner.order(1, Order::Grant { stamp: bed.now }, bed.now);
+        bed.runner.on_order(1, Order::Claim { epoch: 1 }, bed.now);
+        bed.runner.on_order(1, Order::Grant { stamp: bed.now }, bed.now);
         bed.drain();
         bed
     }
@@ -337,7 +337,7 @@
         self.now += 1;
         let worker =
             Worker { id: "i".into(), born, pool: "p".into(), draining, ..Worker::default() };
-        self.runner.beat(&beat(&worker, "10.0.0.1:80", self.clock(born)), self.now);
+        self.runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", self.clock(born)), self.now);
         self.drain();
     }
 
@@ -348,7 +348,7 @@
         for (id, _) in calls {
             let (running, ended) = (Vec::new(), Vec::new());
             let held = Reply::Held { born, clock: self.clock(born), running, ended };
-            self.runner.answer(id, Ok(held), self.now);
+            self.runner.on_reply(id, Ok(held), self.now);
         }
         self.drain();
     }
@@ -363,7 +363,7 @@
     fn confirm_start(&mut self) {
         let starts = |(_, action): &(u64, Action)| matches!(action, Action::Start { .. });
         if let Some((id, _)) = self.calls.iter().find(|call| starts(call)).cloned() {
-            self.runner.answer(id, Ok(Reply::Done { clock: self.clock(self.born()) }), self.now);
+            self.runner.on_reply(id, Ok(Reply::Done { clock: self.clock(self.born()) }), self.now);
         }
         self.drain();
     }
@@ -374,7 +374,7 @@
         let (spec, saved, ticket) = (String::new(), String::new(), String::new());
         let worker = Incarnation { id: "i".into(), born: self.born() };
         let start = Order::Start { worker, task, run: 1, spec, saved, ticket, again: false };
-        self.runner.order(1, start, self.now);
+        self.runner.on_order(1, start, self.now);
         self.drain();
     }
 
@@ -387,7 +387,7 @@
     fn fail(&mut self) {
         for (id, _) in std::mem::take(&mut self.calls) {
             let detail = "closed".to_owned();
-            self.runner.answer(id, Err(Fault::Unclear { closed: true, detail }), self.now);
+            self.runner.on_reply(id, Err(Fault::Unclear { closed: true, detail }), self.now);
         }
         self.drain();
     }
@@ -396,8 +396,10 @@
     /// the incarnation that is there.
     fn lease(&self) -> String {
         let mut leases = self.calls.iter().filter_map(|(_, action)| match action {
-            Action::Start { until, .. } => Some(until - self.clock(self.born())),
-            Action::Hold { until, .. } => until.map(|until| until - self.clock(self.born())),
+            Action::Start { lease_end, .. } => Some(lease_end - self.clock(self.born())),
+            Action::Hold { lease_end, .. } => {
+                lease_end.map(|lease_end| lease_end - self.clock(self.born()))
+            }
             _ => None,
         });
         leases.next_back().map_or("none".to_owned(), |left| format!("{left} ms"))
@@ -406,7 +408,7 @@
     /// The number up to which the look that is under way acknowledges ends.
     fn seen(&self) -> String {
         let mut seen = self.calls.iter().filter_map(|(_, action)| match action {
-            Action::Hold { seen, .. } => Some(seen.to_string()),
+            Action::Hold { acknowledged, .. } => Some(acknowledged.to_string()),
             _ => None,
         });
         seen.next_back().unwrap_or("none".to_owned())
@@ -443,6 +445,6 @@
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
