--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -21,7 +21,7 @@
 use quincewheel_peer::{Command, Event, Hub};
 use quincewheel_platform::{self as platform, Bounds, Report, Skipped, Table};
 use quincewheel_ring as ring;
-use quincewheel_runner::{Announcement, Beat, Output, Runner, Settings};
+use quincewheel_runner::{Announcement, Heartbeat, Output, Runner, Settings};
 use quincewheel_store::Error;
 use quincewheel_wire::{Hello, Key, Notice, Order, Role, list_starts};
 use tokio::sync::Notify;
@@ -107,8 +107,8 @@
 
 /// What the platform's bounds mean for the runner.
 fn bounded(bounds: &Bounds) -> Settings {
-    let reports = MISSED * bounds.reports + LATE;
-    Settings { lease: bounds.lease, reports, ..Settings::default() }
+    let heartbeat_timeout = MISSED * bounds.reports + LATE;
+    Settings { lease: bounds.lease, heartbeat_timeout, ..Settings::default() }
 }
 
 /// Takes in the settings file as it is now. Addresses stay as they were until the
@@ -118,7 +118,7 @@
         Ok(read) => {
             log::info!(event = "reload"; "{:?}", read.bounds);
             grace.set(read.bounds.grace);
-            agent.runner.borrow_mut().tune(bounded(&read.bounds));
+            agent.runner.borrow_mut().update_settings(bounded(&read.bounds));
         }
         Err(error) => log::warn!(event = "reload"; "{error}; the former settings stay"),
     }
@@ -166,8 +166,8 @@
     let mut announcement = Announcement::open();
     loop {
         let now = quincewheel_clock::boot();
-        let incarnations = agent.runner.borrow().incarnations();
-        let due = announcement.due(&agent.runner.borrow(), rand::random(), now);
+        let incarnations = agent.runner.borrow().incarnation_count();
+        let due = announcement.next_write(&agent.runner.borrow(), rand::random(), now);
         match due {
             None => agent.reported.notified().await,
             Some(at) if at > now => {
@@ -176,7 +176,7 @@
             }
             Some(_) => {
                 table.insist(&commit, TIMEOUT, failed).await;
-                announcement.written(incarnations);
+                announcement.on_written(incarnations);
             }
         }
     }
@@ -188,11 +188,11 @@
         match report {
             Report::Beat { worker, address, clock, number } => {
                 agent.started.note(&worker);
-                let beat = Beat { worker: &worker, address: &address, clock, number };
-                agent.runner.borrow_mut().beat(&beat, now);
+                let heartbeat = Heartbeat { worker: &worker, address: &address, clock, number };
+                agent.runner.borrow_mut().on_heartbeat(&heartbeat, now);
                 agent.reported.notify_one();
             }
-            Report::Leave { worker } => agent.runner.borrow_mut().leave(&worker, now),
+            Report::Leave { worker } => agent.runner.borrow_mut().on_leave(&worker, now),
         }
         carry_out(&agent);
         agent.wake.notify_one();
@@ -203,8 +203,8 @@
     while let Some(event) = events.recv().await {
         let now = quincewheel_clock::boot();
         match event {
-            Event::Frame { link, frame } => agent.runner.borrow_mut().order(link, frame, now),
-            Event::Unlinked { link } => agent.runner.borrow_mut().unlinked(link),
+            Event::Frame { link, frame } => agent.runner.borrow_mut().on_order(link, frame, now),
+            Event::Unlinked { link } => agent.runner.borrow_mut().on_disconnect(link),
             Event::Linked { .. } | Event::Undialled { .. } => {}
         }
         carry_out(&agent);
@@ -220,7 +220,7 @@
         agent.metrics.epoch.set(agent.runner.borrow().epoch() as i64);
         carry_out(&agent);
         let now = quincewheel_clock::boot();
-        let wake = agent.runner.borrow().wake(now);
+        let wake = agent.runner.borrow().next_tick(now);
         let pause = Duration::from_millis(wake.saturating_sub(now).max(5));
         let _ = tokio::time::timeout(pause, agent.wake.notified()).await;
     }
@@ -253,9 +253,9 @@
                     agent.metrics.count(&call.action, &answer, ms);
                     let now = quincewheel_clock::boot();
                     agent.health.note(&call, &answer, now);
-                    let incarnations = agent.runner.borrow().incarnations();
-                    agent.runner.borrow_mut().answer(id, answer, now);
-                    if agent.runner.borrow().incarnations() != incarnations {
+                    let incarnations = agent.runner.borrow().incarnation_count();
+                    agent.runner.borrow_mut().on_reply(id, answer, now);
+                    if agent.runner.borrow().incarnation_count() != incarnations {
                         agent.reported.notify_one();
                     }
                     carry_out(&agent);
--- a/crates/dispatch/benches/owner.rs
+++ b/crates/dispatch/benches/owner.rs
@@ -36,7 +36,7 @@
         });
         let round = time(|at| {
             // A job that comes makes the owner decide anew.
-            harness.owner.job(
+            harness.owner.add_job(
                 &format!("n{at}"),
                 job(1, vec![step(1, 8)]),
                 900 + u64::from(at),
@@ -58,12 +58,17 @@
     let mut harness = Harness::new(1, workers).with_idle_workers(workers);
     for number in 0..workers {
         let tasks = vec![step(WIDE as u32, 1)];
-        harness.owner.job(&format!("r{number:04}"), job(2, tasks), 150 + number, None);
+        harness.owner.add_job(&format!("r{number:04}"), job(2, tasks), 150 + number, None);
     }
     harness.tick();
     for number in 0..WAITING {
         let tasks = vec![step(40, 1)];
-        harness.owner.job(&format!("w{number:04}"), job(2, tasks), 600 + u64::from(number), None);
+        harness.owner.add_job(
+            &format!("w{number:04}"),
+            job(2, tasks),
+            600 + u64::from(number),
+            None,
+        );
     }
     harness.tick();
     harness
--- a/crates/dispatch/tests/advice.rs
+++ b/crates/dispatch/tests/advice.rs
@@ -25,7 +25,7 @@
 #[test]
 fn step_starts_only_at_workers_it_is_cleared_for() {
     let mut harness = Harness::new(1, 3).with_idle_workers(3);
-    harness.owner.job("a", job_needing_clearance(vec![step(2, 8)]), 150, None);
+    harness.owner.add_job("a", job_needing_clearance(vec![step(2, 8)]), 150, None);
     harness.tick();
     let requested = harness.take_orders();
     answer_oldest(&mut harness, &["i2"]);
@@ -39,7 +39,7 @@
 #[test]
 fn clearance_is_requested_again_only_when_its_ticket_expires() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.job("a", job_needing_clearance(vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job_needing_clearance(vec![step(1, 8)]), 150, None);
     harness.tick();
     answer_oldest(&mut harness, &["i1"]);
     harness.report_status(
@@ -73,7 +73,7 @@
 #[test]
 fn refused_ticket_is_requested_again() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", job_needing_clearance(vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job_needing_clearance(vec![step(1, 8)]), 150, None);
     harness.tick();
     answer_oldest(&mut harness, &["i0"]);
     harness.take_orders();
@@ -86,7 +86,7 @@
 #[test]
 fn clearance_request_without_an_answer_is_repeated() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", job_needing_clearance(vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job_needing_clearance(vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.take_orders();
     let question = harness.advice_requests.remove(0);
--- a/crates/dispatch/tests/blame.rs
+++ b/crates/dispatch/tests/blame.rs
@@ -26,7 +26,7 @@
 fn failed_task_does_not_return_to_the_worker_at_which_it_failed() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     for (number, name) in [(150, "a"), (151, "b")] {
-        harness.owner.job(name, job(1, vec![step(1, 8)]), number, None);
+        harness.owner.add_job(name, job(1, vec![step(1, 8)]), number, None);
         harness.tick();
     }
     harness.take_orders();
@@ -45,7 +45,7 @@
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let mut orders = Vec::new();
     for (number, name) in [(1, "a"), (2, "b"), (3, "c"), (4, "d")] {
-        harness.owner.job(name, job(1, vec![step(1, 8)]), 150 + number, None);
+        harness.owner.add_job(name, job(1, vec![step(1, 8)]), 150 + number, None);
         harness.tick();
         orders.push(format!("{name}: {}", harness.take_orders()));
         if number < 4 {
@@ -73,14 +73,14 @@
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let mut failing = job(1, vec![step(1, 8)]);
     failing.queue.attempts = 9;
-    harness.owner.job("a", failing, 150, None);
+    harness.owner.add_job("a", failing, 150, None);
     harness.tick();
     for number in 1..=4 {
         report_failure(&mut harness, number, "a", number);
     }
     harness.owner.cancel("a", harness.now);
     harness.take_orders();
-    harness.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
+    harness.owner.add_job("b", job(1, vec![step(1, 8)]), 151, None);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @"w0 start b.0.0.0 run 1");
 }
@@ -90,7 +90,7 @@
 #[test]
 fn failed_task_returns_after_a_while_where_no_other_worker_may_run_it() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.take_orders();
     report_failure(&mut harness, 1, "a", 1);
--- a/crates/dispatch/tests/capacity.rs
+++ b/crates/dispatch/tests/capacity.rs
@@ -21,7 +21,7 @@
 fn capacity_that_grows_again_is_used_at_once() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     report_accelerators(&mut harness, 2, &[]);
-    harness.owner.job("a", job(1, vec![step(1, 4)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 4)]), 150, None);
     harness.tick();
     let shrunk = harness.take_orders();
     report_accelerators(&mut harness, 8, &[]);
@@ -36,12 +36,12 @@
 #[test]
 fn nothing_starts_at_a_worker_that_has_shrunk_below_its_runs() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", job(1, vec![step(2, 3)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(2, 3)]), 150, None);
     harness.tick();
     let runs = [run(task("a", 0, 0), 1), run(task("a", 0, 1), 1)];
     harness.take_orders();
     report_accelerators(&mut harness, 4, &runs);
-    harness.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
+    harness.owner.add_job("b", job(1, vec![step(1, 1)]), 151, None);
     harness.tick();
     let before_end = harness.take_orders();
     let ended = [harness::end(1, task("a", 0, 0), 1, quincewheel_job::How::Done)];
@@ -65,7 +65,7 @@
 fn capacity_of_an_orphaned_run_is_free_only_once_the_run_is_gone() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.report_status(0, &[run(task("unknown", 0, 0), 7)], &[]);
-    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
     let stopping = harness.take_orders();
     harness.report_status(0, &[], &[]);
--- a/crates/dispatch/tests/checkpoints.rs
+++ b/crates/dispatch/tests/checkpoints.rs
@@ -16,7 +16,7 @@
 fn owner_and_records() -> (Harness, Vec<String>) {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let saving = Step { checkpoints: true, estimate: 9000, ..step(1, 1) };
-    harness.owner.job("a", job(1, vec![saving]), 150, None);
+    harness.owner.add_job("a", job(1, vec![saving]), 150, None);
     harness.tick();
     let mut records = Vec::new();
     for (ms, saved) in [(1600, "c1"), (500, "c2"), (500, "c3"), (600, "c3"), (1600, "c3")] {
@@ -46,15 +46,15 @@
 fn job_resumes_from_its_recorded_checkpoint_where_no_worker_has_one() {
     let mut before = Harness::new(1, 1).with_idle_workers(1);
     let saving = Step { checkpoints: true, estimate: 9000, ..step(1, 1) };
-    before.owner.job("a", job(1, vec![saving.clone()]), 50, None);
+    before.owner.add_job("a", job(1, vec![saving.clone()]), 50, None);
     before.tick();
     before.advance(1600);
     report_checkpoint(&mut before, "c1");
     let batch = before.record();
     let mut harness = Harness::new(2, 1);
-    harness.owner.job("a", job(1, vec![saving]), 50, None);
+    harness.owner.add_job("a", job(1, vec![saving]), 50, None);
     for (id, saved) in &batch.saved {
-        harness.owner.restore(id, saved);
+        harness.owner.restore_checkpoints(id, saved);
     }
     harness.connect(0);
     harness.report_status(0, &[], &[]);
--- a/crates/dispatch/tests/crashes.rs
+++ b/crates/dispatch/tests/crashes.rs
@@ -33,7 +33,7 @@
 #[test]
 fn task_that_crashes_workers_that_keep_their_ids_fails() {
     let mut pool = CrashingPool::new(1, 4);
-    pool.harness.owner.tune(Settings::default());
+    pool.harness.owner.update_settings(Settings::default());
     pool.keeps_worker_ids = true;
     pool.crashing_jobs = vec!["bad"];
     pool.submit("bad", job(1, vec![step(1, 4)]), 150);
@@ -203,7 +203,7 @@
 #[test]
 fn crash_counts_when_the_next_incarnation_reports_late() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.logged_events = vec!["crash suspected"];
     let starts = vec![(harness::task("a", 0, 0), 1)];
@@ -223,7 +223,7 @@
 #[test]
 fn crash_of_an_earlier_incarnation_counts_at_once() {
     let mut harness = Harness::new(1, 1);
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     let mut harness = harness.with_idle_workers(1);
     harness.logged_events = vec!["crash suspected"];
     let starts = vec![(harness::task("a", 0, 0), 1)];
@@ -332,7 +332,7 @@
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let mut gang = job(1, vec![step(2, 8)]);
     gang.steps[0].gang = true;
-    harness.owner.job("a", gang, 150, None);
+    harness.owner.add_job("a", gang, 150, None);
     harness.tick();
     harness.logged_events = vec!["crash suspected"];
     // The first member's worker restarted; the second member waits for it.
@@ -361,14 +361,14 @@
 #[test]
 fn late_crash_report_of_a_done_task_does_not_block_its_step() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.job("a", job(1, vec![step(2, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(2, 8)]), 150, None);
     harness.tick();
     let first = harness::task("a", 0, 0);
     harness.report_status(0, &[], &[harness::end(1, first.clone(), 1, quincewheel_job::How::Done)]);
     let record = harness.record();
     let (_, progress) = record.jobs.first().cloned().expect("the end is recorded");
     let mut harness = Harness::new(2, 2);
-    harness.owner.job("a", job(1, vec![step(2, 8)]), 50, Some(progress));
+    harness.owner.add_job("a", job(1, vec![step(2, 8)]), 50, Some(progress));
     harness.connect(0);
     let starts = vec![(first, 1)];
     harness.deliver(0, Notice::Broke { worker: "i0-before".into(), starts });
--- a/crates/dispatch/tests/crashing_pool/mod.rs
+++ b/crates/dispatch/tests/crashing_pool/mod.rs
@@ -50,7 +50,7 @@
     /// Creates an owner with this many connected workers that run nothing.
     pub fn new(epoch: u64, workers: u64) -> CrashingPool {
         let mut harness = Harness::new(epoch, workers);
-        harness.owner.tune(*SETTINGS);
+        harness.owner.update_settings(*SETTINGS);
         let mut pool = CrashingPool {
             harness,
             incarnations: vec![0; workers as usize],
@@ -88,24 +88,24 @@
         let (stamp, worker) = (self.harness.now, Some(self.worker(number)));
         let running = self.running[number as usize].clone();
         let notice = Notice::Status { stamp, worker, fenced: true, running, ended: Vec::new() };
-        self.harness.owner.notice(number, notice, self.harness.now);
+        self.harness.owner.on_notice(number, notice, self.harness.now);
     }
 
     pub fn submit(&mut self, name: &'static str, job: Job, version: u64) {
-        self.harness.owner.job(name, job, version, None);
+        self.harness.owner.add_job(name, job, version, None);
     }
 
     /// Replaces the owner by one that knows only what was recorded.
     pub fn take_over(&mut self, epoch: u64, jobs: Vec<(&'static str, Job)>) {
         let now = self.harness.now;
-        self.harness.owner = Owner::open(*SETTINGS, epoch, CLAIM_VERSION * epoch, now);
-        self.harness.owner.former_ended();
+        self.harness.owner = Owner::new(*SETTINGS, epoch, CLAIM_VERSION * epoch, now);
+        self.harness.owner.predecessor_ended();
         for number in 0..self.incarnations.len() as u64 {
             self.harness.owner.agent(&format!("w{number}"), now);
         }
         for (name, job) in jobs {
             let progress = self.recorded.get(name).cloned();
-            self.harness.owner.job(name, job, CLAIM_VERSION, progress);
+            self.harness.owner.add_job(name, job, CLAIM_VERSION, progress);
         }
         for number in 0..self.incarnations.len() as u64 {
             self.harness.connect(number);
@@ -137,7 +137,7 @@
                 self.next_report_at = now + 1000;
                 self.report_all();
             }
-            self.harness.owner.confirm(now);
+            self.harness.owner.confirm_ownership(now);
             self.harness.owner.tick(now, now);
             self.execute_orders();
             if let Some(batch) = self.harness.owner.record() {
@@ -156,14 +156,14 @@
                 self.report(number);
             }
             let notice = Notice::Ping { stamp: self.harness.now, silent: 0 };
-            self.harness.owner.notice(number, notice, self.harness.now);
+            self.harness.owner.on_notice(number, notice, self.harness.now);
         }
     }
 
     /// Executes the owner's starts at once; tasks of `crashing_jobs` crash their worker.
     pub fn execute_orders(&mut self) {
         let mut started: Vec<(u64, Task, u64)> = Vec::new();
-        for output in self.harness.owner.outputs() {
+        for output in self.harness.owner.take_outputs() {
             match output {
                 Output::Send { link, order } => {
                     if let Order::Start { task, run, .. } = order {
@@ -182,7 +182,7 @@
         for (number, task, run) in started.clone() {
             let running = harness::run(task.clone(), run);
             self.running[number as usize].push(running);
-            self.harness.owner.notice(number, Notice::Started { task, run }, self.harness.now);
+            self.harness.owner.on_notice(number, Notice::Started { task, run }, self.harness.now);
         }
         let crashes_worker = |task: &Task| self.crashing_jobs.contains(&task.job.as_str());
         let mut crashed: Vec<u64> = started
@@ -204,12 +204,12 @@
         self.restarts.push((self.harness.now + RESTART_DELAY_MS, number));
         let worker = self.worker(number);
         let notice = Notice::Broke { worker: worker.incarnation(), starts };
-        self.harness.owner.notice(number, notice, self.harness.now);
+        self.harness.owner.on_notice(number, notice, self.harness.now);
         let (stamp, running) =
             (self.harness.now, std::mem::take(&mut self.running[number as usize]));
         let (worker, ended) = (Some(worker), Vec::new());
         let notice = Notice::Status { stamp, worker, fenced: false, running, ended };
-        self.harness.owner.notice(number, notice, self.harness.now);
+        self.harness.owner.on_notice(number, notice, self.harness.now);
     }
 
     /// Sends the platform's list of machines, without the workers that are down.
--- a/crates/dispatch/tests/dismissal_in_progress.rs
+++ b/crates/dispatch/tests/dismissal_in_progress.rs
@@ -30,7 +30,7 @@
     let batch = harness.owner.record().unwrap_or_default();
     // The worker answers again before the table does.
     harness.deliver(1, Notice::Ping { stamp: harness.now, silent: 0 });
-    harness.owner.job("a", job(1, vec![step(9, 1)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(9, 1)]), 150, None);
     harness.tick();
     let started = harness.take_orders().lines().filter(|line| line.starts_with("w1")).count();
     harness.owner.recorded(&batch, true);
@@ -43,13 +43,13 @@
 #[test]
 fn run_at_a_member_whose_row_was_just_dropped_ends_with_its_lease() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     advance(&mut harness, 15_000, 0);
     let batch = harness.owner.record().unwrap_or_default();
     // The worker answers again before the table does, and the run that it lists is adopted.
-    harness.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
+    harness.owner.add_job("b", job(1, vec![step(1, 8)]), 151, None);
     harness.report_status(1, &[run(task("b", 0, 0), 1)], &[]);
     harness.owner.recorded(&batch, true);
     harness.take_orders();
@@ -84,7 +84,7 @@
     harness.connect(1);
     // What an agent sends on a claim, and its first ping a second later.
     harness.report_status(1, &[], &[]);
-    harness.owner.job("a", job(1, vec![step(9, 1)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(9, 1)]), 150, None);
     harness.advance(1000);
     harness.deliver(1, Notice::Ping { stamp: harness.now, silent: silent + 1000 });
     let orders = harness.take_orders();
--- a/crates/dispatch/tests/dismissal_late_answer.rs
+++ b/crates/dispatch/tests/dismissal_late_answer.rs
@@ -36,17 +36,17 @@
         ended: Vec::new(),
     };
     harness.deliver(2, status(&[], harness.now));
-    harness.owner.job("a", job(1, vec![step(2, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(2, 8)]), 150, None);
     harness.advance(100);
     harness.deliver(2, status(&[run(task("a", 0, 1), 1)], harness.now));
     let started = harness.take_orders().contains("w2 start a.0.0.1");
     harness.owner.recorded(&batch, true);
     harness.advance(100);
     let orders = harness.take_orders();
-    harness.owner.notice(2, Notice::Ping { stamp: harness.now, silent: 0 }, harness.now);
+    harness.owner.on_notice(2, Notice::Ping { stamp: harness.now, silent: 0 }, harness.now);
     let granted = harness
         .owner
-        .outputs()
+        .take_outputs()
         .iter()
         .any(|output| matches!(output, Output::Send { link: 2, order: Order::Grant { .. } }));
     let dropped = batch.gone.join(" ");
--- a/crates/dispatch/tests/dismissed_reconnect.rs
+++ b/crates/dispatch/tests/dismissed_reconnect.rs
@@ -21,7 +21,7 @@
     // The owner dials again within 100 ms, and the worker's next incarnation reports.
     harness.connect(0);
     harness.report_status(0, &[], &[]);
-    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.advance(1000);
     let before = harness.take_orders();
     // The agent registers, and its row is read.
@@ -49,7 +49,7 @@
     harness.take_orders();
     harness.connect(0);
     harness.report_status(0, &[], &[]);
-    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.advance(1000);
     assert_snapshot!(harness.take_orders(), @"close 0");
 }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -45,7 +45,7 @@
 fn zone_is_reported_empty_once_and_only_when_all_runs_in_it_are_known() {
     let mut harness = Harness::new(2, 2);
     harness.logged_events = EVENTS.to_vec();
-    harness.owner.job("old", job(0, vec![step(1, 8)]), 50, None);
+    harness.owner.add_job("old", job(0, vec![step(1, 8)]), 50, None);
     harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
     harness.advance(300);
     let before_reports = format!("{}\n{:?}", harness.take_logs(), harness.owner.evacuated());
@@ -81,7 +81,7 @@
     harness.tick();
     harness.take_orders();
     let gang = Step { gang: true, same_rack: true, ..step(3, 8) };
-    harness.owner.job("gang", Job { accepted: harness.now, ..job(0, vec![gang]) }, 150, None);
+    harness.owner.add_job("gang", Job { accepted: harness.now, ..job(0, vec![gang]) }, 150, None);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @r#"
     w3 start gang.0.0.0 run 1 
@@ -98,11 +98,16 @@
     let teams = [("t".to_owned(), team)].into();
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
     harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
-    harness.owner.job("other", Job { team: "o".into(), ..job(1, vec![step(1, 8)]) }, 150, None);
+    harness.owner.add_job("other", Job { team: "o".into(), ..job(1, vec![step(1, 8)]) }, 150, None);
     harness.tick();
     report_in_zone(&mut harness, 2, &[run(task("other", 0, 0), 1)]);
     harness.take_orders();
-    harness.owner.job("owed", Job { accepted: harness.now, ..job(0, vec![step(1, 8)]) }, 160, None);
+    harness.owner.add_job(
+        "owed",
+        Job { accepted: harness.now, ..job(0, vec![step(1, 8)]) },
+        160,
+        None,
+    );
     harness.tick();
     assert_snapshot!(harness.take_orders(), @r#"
     w2 stop other.0.0.0 run 1
@@ -115,7 +120,7 @@
 fn unconfirmed_start_in_an_evacuated_zone_is_stopped_instead_of_sent_again() {
     let mut harness = two_zones(3);
     let gang = Step { gang: true, ..step(3, 8) };
-    harness.owner.job("gang", job(0, vec![gang]), 150, None);
+    harness.owner.add_job("gang", job(0, vec![gang]), 150, None);
     harness.tick();
     harness.owner.unlinked(0);
     harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
@@ -137,14 +142,14 @@
 fn owner_that_has_not_read_the_evacuations_for_long_starts_nothing() {
     let mut harness = two_zones(2);
     let settings = Settings { evacuation: Some(5000), ..Settings::default() };
-    harness.owner.tune(settings);
+    harness.owner.update_settings(settings);
     harness.owner.evacuate(&evacuation_of(&[]), harness.now);
     harness.advance_with_pings(3600, 2);
-    harness.owner.job("before", job(0, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("before", job(0, vec![step(1, 1)]), 150, None);
     harness.tick();
     let before = harness.take_orders();
     harness.advance_with_pings(200, 2);
-    harness.owner.job("after", job(0, vec![step(1, 1)]), 160, None);
+    harness.owner.add_job("after", job(0, vec![step(1, 1)]), 160, None);
     harness.advance_with_pings(2000, 2);
     let not_read = harness.take_orders();
     harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
@@ -179,7 +184,7 @@
     let mut harness = two_zones(2);
     harness.advance_with_pings(20_000, 2);
     harness.take_orders();
-    harness.owner.job("work", job(0, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("work", job(0, vec![step(1, 1)]), 150, None);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @r#"
     w0 start work.0.0.0 run 1
@@ -205,8 +210,8 @@
 
 #[test]
 fn owner_without_evacuations_sends_agents_none() {
-    let mut owner = Owner::open(Settings::default(), 1, 1, 0);
+    let mut owner = Owner::new(Settings::default(), 1, 1, 0);
     owner.evacuate(&evacuation_of(&[]), 5);
     owner.linked("w0", 0, 10);
-    assert_eq!(owner.outputs().len(), 1);
+    assert_eq!(owner.take_outputs().len(), 1);
 }
--- a/crates/dispatch/tests/harness/mod.rs
+++ b/crates/dispatch/tests/harness/mod.rs
@@ -28,7 +28,7 @@
     /// Creates an owner that has just claimed the ownership and knows this many agents, from `w0`
     /// on.
     pub fn new(epoch: u64, agents: u64) -> Harness {
-        let mut owner = Owner::open(Settings::default(), epoch, CLAIM_VERSION, 10_000);
+        let mut owner = Owner::new(Settings::default(), epoch, CLAIM_VERSION, 10_000);
         for number in 0..agents {
             owner.agent(&format!("w{number}"), 10_000);
         }
@@ -74,7 +74,7 @@
 
     /// Delivers a notice of an agent, then runs the owner once.
     pub fn deliver(&mut self, link: LinkId, notice: Notice) {
-        self.owner.notice(link, notice, self.now);
+        self.owner.on_notice(link, notice, self.now);
         self.tick();
     }
 
@@ -86,7 +86,7 @@
 
     /// Runs the owner at the current time, with its ownership confirmed by the table.
     pub fn tick(&mut self) {
-        self.owner.confirm(self.now);
+        self.owner.confirm_ownership(self.now);
         self.owner.tick(self.now, self.now);
         self.collect_outputs();
     }
@@ -101,7 +101,7 @@
 
     /// Collects the owner's outputs. Lease grants and claims are left out.
     pub fn collect_outputs(&mut self) {
-        for output in self.owner.outputs() {
+        for output in self.owner.take_outputs() {
             match output {
                 Output::Send { order: Order::Grant { .. } | Order::Claim { .. }, .. } => {}
                 Output::Send { link, order } => self.orders.push(format_order(link, &order)),
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -33,7 +33,7 @@
 #[test]
 fn unconfirmed_orders_are_sent_again_on_a_new_connection() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
     harness.owner.unlinked(0);
     harness.connect(0);
@@ -56,12 +56,12 @@
 #[test]
 fn silent_worker_loses_only_its_old_runs_and_gets_no_new_ones() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     let first = harness.take_orders();
-    harness.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
-    harness.owner.job("c", job(1, vec![step(1, 1)]), 152, None);
+    harness.owner.add_job("b", job(1, vec![step(1, 8)]), 151, None);
+    harness.owner.add_job("c", job(1, vec![step(1, 1)]), 152, None);
     for silent in [2000, 4000, 6300, 6400] {
         harness.advance(1600);
         harness.deliver(1, Notice::Ping { stamp: harness.now, silent: 0 });
@@ -81,7 +81,7 @@
 #[test]
 fn runs_of_a_lost_worker_lapse_by_its_last_answer_though_its_agent_still_pings() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     harness.take_orders();
--- a/crates/dispatch/tests/machine_list.rs
+++ b/crates/dispatch/tests/machine_list.rs
@@ -11,10 +11,10 @@
 /// Creates an owner on a platform that lists machines, with a job that runs at the first worker.
 fn owner_with_a_run() -> Harness {
     let mut harness = Harness::new(1, 2);
-    harness.owner.tune(Settings { listed: true, ..Settings::default() });
+    harness.owner.update_settings(Settings { listed: true, ..Settings::default() });
     let mut harness = harness.with_idle_workers(2);
     harness.tick();
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     harness.take_orders();
@@ -24,8 +24,8 @@
 /// Creates a new owner that is connected to two of three agents, and a job stored before its claim.
 fn new_owner() -> Harness {
     let mut harness = Harness::new(2, 3);
-    harness.owner.tune(Settings { listed: true, ..Settings::default() });
-    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.owner.update_settings(Settings { listed: true, ..Settings::default() });
+    harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     for number in 0..2 {
         harness.connect(number);
         harness.report_status(number, &[], &[]);
@@ -217,8 +217,8 @@
 #[test]
 fn later_of_two_runs_of_a_task_is_adopted() {
     let mut harness = Harness::new(2, 3);
-    harness.owner.tune(Settings { listed: true, ..Settings::default() });
-    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.owner.update_settings(Settings { listed: true, ..Settings::default() });
+    harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     for number in 0..3 {
         harness.connect(number);
     }
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -88,7 +88,7 @@
 #[test]
 fn new_owner_connected_to_few_agents_waits_until_the_former_one_stops_granting() {
     let mut harness = Harness::new(2, 3);
-    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     advance(&mut harness, 14_000, &[0]);
@@ -106,7 +106,7 @@
 #[test]
 fn new_owner_waits_for_an_unresponsive_worker_until_its_silence_reaches_a_lease() {
     let mut harness = Harness::new(2, 2);
-    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     harness.connect(1);
--- a/crates/dispatch/tests/preemption.rs
+++ b/crates/dispatch/tests/preemption.rs
@@ -11,7 +11,7 @@
 
 /// Fills a worker with a run of a job of this name, started `age` ms ago.
 fn fill_worker(harness: &mut Harness, number: u64, name: &str, priority: u32, age: u64) {
-    harness.owner.job(name, job(priority, vec![step(1, 8)]), 150 + number, None);
+    harness.owner.add_job(name, job(priority, vec![step(1, 8)]), 150 + number, None);
     harness.report_status(number, &[], &[]);
     harness.report_status(number, &[run(task(name, 0, 0), 1)], &[]);
     harness.take_orders();
@@ -37,7 +37,7 @@
     set_guarantee(&mut harness, 8);
     fill_worker(&mut harness, 0, "old", 1, 1500);
     fill_worker(&mut harness, 1, "young", 1, 200);
-    harness.owner.job("g", urgent_job(vec![step(1, 8)], harness.now), 200, None);
+    harness.owner.add_job("g", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
     let stopped = harness.take_orders();
     harness.report_status(1, &[], &[end(1, task("young", 0, 0), 1, How::Stopped)]);
@@ -54,7 +54,7 @@
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     set_guarantee(&mut harness, 8);
     fill_worker(&mut harness, 0, "young", 1, 200);
-    harness.owner.job("g", urgent_job(vec![step(1, 8)], harness.now), 200, None);
+    harness.owner.add_job("g", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
     harness.logged_events = vec!["run ended"];
     harness.report_status(0, &[], &[end(1, task("young", 0, 0), 1, How::Stopped)]);
@@ -68,12 +68,12 @@
 fn beyond_its_guarantee_a_job_preempts_only_where_little_is_lost() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     fill_worker(&mut harness, 0, "old", 1, 2300);
-    harness.owner.job("u", urgent_job(vec![step(1, 8)], harness.now), 200, None);
+    harness.owner.add_job("u", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
     let large_loss = harness.take_orders();
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     fill_worker(&mut harness, 0, "young", 1, 1500);
-    harness.owner.job("u", urgent_job(vec![step(1, 8)], harness.now), 200, None);
+    harness.owner.add_job("u", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
     assert_snapshot!(format!("old: {large_loss}\nyoung: {}", harness.take_orders()), @r"
     old: nothing
@@ -87,7 +87,7 @@
 fn late_job_preempts_nothing() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     fill_worker(&mut harness, 0, "young", 1, 200);
-    harness.owner.job("late", urgent_job(vec![step(1, 8)], harness.now - 2000), 200, None);
+    harness.owner.add_job("late", urgent_job(vec![step(1, 8)], harness.now - 2000), 200, None);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @r"nothing");
 }
@@ -97,7 +97,7 @@
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     set_guarantee(&mut harness, 8);
     fill_worker(&mut harness, 0, "equal", 0, 200);
-    harness.owner.job("g", urgent_job(vec![step(1, 8)], harness.now), 200, None);
+    harness.owner.add_job("g", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @r"nothing");
 }
@@ -114,7 +114,7 @@
     fill_worker(&mut harness, 0, "own", 0, 100);
     fill_worker(&mut harness, 1, "borrowed", 0, 100);
     let theirs = Job { team: "other".into(), ..urgent_job(vec![step(1, 8)], harness.now) };
-    harness.owner.job("g", theirs, 200, None);
+    harness.owner.add_job("g", theirs, 200, None);
     harness.tick();
     let at_once = harness.take_orders();
     harness.advance(1100);
@@ -131,13 +131,13 @@
 #[test]
 fn run_close_to_its_end_is_not_preempted() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("old", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("old", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.advance(800);
     let listed = Run { percent: 80, ..run(task("old", 0, 0), 1) };
     harness.report_status(0, &[listed], &[]);
     harness.take_orders();
-    harness.owner.job("u", urgent_job(vec![step(1, 8)], harness.now), 200, None);
+    harness.owner.add_job("u", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     harness.tick();
     let waiting = harness.take_orders();
     harness.advance(200);
@@ -159,10 +159,10 @@
     fill_worker(&mut harness, 0, "young", 1, 100);
     fill_worker(&mut harness, 1, "old", 1, 900);
     let other = Job { team: "other".into(), ..urgent_job(vec![step(1, 8)], harness.now) };
-    harness.owner.job("u", other, 200, None);
+    harness.owner.add_job("u", other, 200, None);
     harness.tick();
     let first = harness.take_orders();
-    harness.owner.job("g", urgent_job(vec![step(1, 8)], harness.now), 201, None);
+    harness.owner.add_job("g", urgent_job(vec![step(1, 8)], harness.now), 201, None);
     harness.tick();
     assert_snapshot!(format!("{first}\n-- guaranteed\n{}", harness.take_orders()), @r"
     w1 stop old.0.0.0 run 1
@@ -183,7 +183,7 @@
         Job { accepted: now, ..job }
     };
     for number in 0..6 {
-        harness.owner.job(&format!("easy{number}"), relaxed(harness.now), 150 + number, None);
+        harness.owner.add_job(&format!("easy{number}"), relaxed(harness.now), 150 + number, None);
     }
     harness.tick();
     let at_first = harness.take_orders().lines().count();
@@ -208,13 +208,18 @@
 fn job_of_which_nothing_runs_starts_in_a_pool_that_is_half_free() {
     let mut harness = Harness::new(1, 4).with_idle_workers(4);
     for number in 1..4 {
-        harness.owner.job(&format!("small{number}"), job(0, vec![step(1, 5)]), 140 + number, None);
+        harness.owner.add_job(
+            &format!("small{number}"),
+            job(0, vec![step(1, 5)]),
+            140 + number,
+            None,
+        );
         harness.tick();
     }
     harness.take_orders();
     let mut relaxed = job(1, vec![Step { estimate: 9000, ..step(1, 8) }]);
     relaxed.queue.stretch = 3.0;
-    harness.owner.job("easy", Job { accepted: harness.now, ..relaxed }, 150, None);
+    harness.owner.add_job("easy", Job { accepted: harness.now, ..relaxed }, 150, None);
     harness.tick();
     let at_first = harness.take_orders();
     harness.advance(1600);
@@ -237,12 +242,12 @@
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
     let mut gang = urgent_job(vec![Step { gang: true, ..step(2, 8) }], harness.now);
     gang.team = "u".into();
-    harness.owner.job("begun", gang, 150, None);
+    harness.owner.add_job("begun", gang, 150, None);
     harness.tick();
     (0..2).for_each(|at| harness.report_status(at, &[run(task("begun", 0, at as u32), 1)], &[]));
     harness.advance(1000);
     harness.take_orders();
-    harness.owner.job("waits", urgent_job(vec![step(1, 8)], harness.now), 200, None);
+    harness.owner.add_job("waits", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     let mut orders = String::new();
     for _ in 0..Settings::default().reclaim / 100 {
         harness.advance_with_pings(100, 2);
@@ -272,7 +277,7 @@
             harness.report_status(0, &[], &[end(9, task("c", 0, 0), 1, How::Stopped)]);
         }
         let job = Job { team: name.into(), ..urgent_job(vec![step(1, 8)], harness.now) };
-        harness.owner.job(name, job, at, None);
+        harness.owner.add_job(name, job, at, None);
         for _ in 0..27 {
             harness.advance_with_pings(100, 1);
             let new_orders = harness.take_orders();
@@ -318,11 +323,11 @@
     fill_worker(&mut harness, 0, "low", 1, 500);
     fill_worker(&mut harness, 1, "firm", 0, 500);
     let owed = Job { team: "v".into(), ..urgent_job(vec![step(1, 8)], harness.now) };
-    harness.owner.job("owed", owed, 200, None);
+    harness.owner.add_job("owed", owed, 200, None);
     harness.tick();
     let first = harness.take_orders();
     let older = Job { team: "u".into(), ..urgent_job(vec![step(1, 8)], harness.now - 300) };
-    harness.owner.job("older", older, 190, None);
+    harness.owner.add_job("older", older, 190, None);
     harness.advance_with_pings(100, 2);
     harness.report_status(0, &[], &[end(1, task("low", 0, 0), 1, How::Stopped)]);
     harness.advance_with_pings(100, 2);
--- a/crates/dispatch/tests/refusals.rs
+++ b/crates/dispatch/tests/refusals.rs
@@ -15,8 +15,8 @@
 #[test]
 fn confirmed_start_reopens_a_worker_that_refused_another() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
-    harness.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("b", job(1, vec![step(1, 1)]), 151, None);
     harness.tick();
     harness.take_orders();
     harness.deliver(0, Notice::Unstarted { task: task("a", 0, 0), run: 1, why: Refused::Busy });
@@ -55,7 +55,7 @@
 #[test]
 fn worker_that_refuses_a_start_is_retried_with_backoff() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
     assert_snapshot!(format!("{:?}", refuse_starts(&mut harness, 5000)), @"[0, 50, 150, 350, 750, 1550, 3150, 4750]");
 }
--- a/crates/dispatch/tests/reservation_expiry.rs
+++ b/crates/dispatch/tests/reservation_expiry.rs
@@ -18,12 +18,12 @@
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
     for number in 0..2 {
         let name = format!("low{number}");
-        harness.owner.job(&name, job(1, vec![step(1, 8)]), 150 + number, None);
+        harness.owner.add_job(&name, job(1, vec![step(1, 8)]), 150 + number, None);
         harness.report_status(number, &[run(low_task(number), 1)], &[]);
         harness.advance(200);
     }
     harness.take_orders();
-    harness.owner.job("high", job(0, vec![step(1, 8)]), 200, None);
+    harness.owner.add_job("high", job(0, vec![step(1, 8)]), 200, None);
     harness.tick();
     let made = harness.take_orders();
     harness.advance(1000);
--- a/crates/dispatch/tests/reservation_refused_start.rs
+++ b/crates/dispatch/tests/reservation_refused_start.rs
@@ -19,13 +19,13 @@
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
     for number in 0..2 {
         let name = format!("low{number}");
-        harness.owner.job(&name, job(1, vec![step(1, 6)]), 150 + number, None);
+        harness.owner.add_job(&name, job(1, vec![step(1, 6)]), 150 + number, None);
         harness.report_status(number, &[run(low_task(number), 1)], &[]);
         harness.advance(200);
     }
-    harness.owner.job("tiny", job(1, vec![step(2, 2)]), 160, None);
+    harness.owner.add_job("tiny", job(1, vec![step(2, 2)]), 160, None);
     harness.tick();
-    harness.owner.job("high", job(0, vec![step(1, 6)]), 200, None);
+    harness.owner.add_job("high", job(0, vec![step(1, 6)]), 200, None);
     harness.tick();
     let made = harness.take_orders();
     harness.deliver(1, Notice::Unstarted { task: task("tiny", 0, 1), run: 1, why: Refused::Busy });
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -19,7 +19,7 @@
     let mut harness = Harness::new(1, 1);
     harness.connect(0);
     report_incarnation(&mut harness, 1, &[], &[]);
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     report_incarnation(&mut harness, 1, &[], &[end(1, task("a", 0, 0), 1, How::Done)]);
     harness.record();
@@ -36,7 +36,7 @@
 #[test]
 fn end_numbered_from_one_after_a_restart_counts() {
     let mut harness = restarted_after_a_recorded_end();
-    harness.owner.job("b", job(1, vec![step(1, 8)]), 160, None);
+    harness.owner.add_job("b", job(1, vec![step(1, 8)]), 160, None);
     harness.tick();
     report_incarnation(&mut harness, 2, &[run(task("b", 0, 0), 1)], &[]);
     report_incarnation(&mut harness, 2, &[], &[end(1, task("b", 0, 0), 1, How::Broken)]);
@@ -53,7 +53,7 @@
 #[test]
 fn start_that_a_former_incarnation_never_listed_is_stopped_before_it_starts_elsewhere() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     let ordered = harness.take_orders();
     report_incarnation(&mut harness, 2, &[], &[]);
@@ -73,7 +73,7 @@
 #[test]
 fn run_that_a_former_incarnation_listed_starts_again_at_once() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     harness.take_orders();
@@ -87,7 +87,7 @@
 #[test]
 fn task_outlives_its_start_though_its_agents_clock_restarted() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
     harness.logged_events = vec!["crash suspected"];
     for stamp in [500_000, 1000, 1400] {
@@ -110,7 +110,7 @@
     report_incarnation(&mut harness, 1, &[], &[]);
     let mut cleared = job(1, vec![step(1, 8)]);
     cleared.queue.advice = Some(Advice { decide: 100, each: 10, ..Advice::default() });
-    harness.owner.job("a", cleared, 150, None);
+    harness.owner.add_job("a", cleared, 150, None);
     harness.tick();
     let question = harness.advice_requests.remove(0);
     report_incarnation(&mut harness, 2, &[], &[]);
--- a/crates/dispatch/tests/stalled_runs.rs
+++ b/crates/dispatch/tests/stalled_runs.rs
@@ -11,7 +11,7 @@
 fn orders_for_progress(percents: &[u32]) -> String {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let long = Step { estimate: 4000, ..step(1, 8) };
-    harness.owner.job("a", job(1, vec![long]), 150, None);
+    harness.owner.add_job("a", job(1, vec![long]), 150, None);
     harness.tick();
     harness.take_orders();
     for &percent in percents {
@@ -52,7 +52,7 @@
 fn member_that_waits_for_its_gang_is_not_stopped() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     let gang = Step { estimate: 4000, gang: true, ..step(2, 8) };
-    harness.owner.job("a", job(1, vec![gang]), 150, None);
+    harness.owner.add_job("a", job(1, vec![gang]), 150, None);
     harness.tick();
     harness.take_orders();
     for slow_percent in [20, 30, 40, 50, 60, 70] {
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -14,11 +14,11 @@
 #[test]
 fn older_jobs_wait_until_every_agent_has_reported() {
     let mut harness = Harness::new(2, 2);
-    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     harness.connect(1);
-    harness.owner.job("new", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("new", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
     let first = harness.take_orders();
     harness.report_status(1, &[run(task("old", 0, 0), 7)], &[]);
@@ -33,7 +33,7 @@
 #[test]
 fn unconnected_agent_delays_older_jobs_until_its_leases_have_lapsed() {
     let mut harness = Harness::new(2, 2);
-    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     for _ in 0..4 {
@@ -53,7 +53,7 @@
 #[test]
 fn agent_that_knows_no_worker_has_not_reported() {
     let mut harness = Harness::new(2, 2);
-    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     harness.connect(1);
@@ -76,8 +76,8 @@
 #[test]
 fn restarted_owner_waits_only_one_lease_after_its_own_ownership() {
     let mut harness = Harness::new(2, 4);
-    harness.owner.former_ended();
-    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.owner.predecessor_ended();
+    harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     for _ in 0..3 {
@@ -110,7 +110,7 @@
 #[test]
 fn ends_that_the_former_owner_did_not_record_count() {
     let mut harness = Harness::new(2, 1);
-    harness.owner.job("old", job(1, vec![step(1, 1), step(1, 1)]), 50, None);
+    harness.owner.add_job("old", job(1, vec![step(1, 1), step(1, 1)]), 50, None);
     harness.connect(0);
     harness.report_status(0, &[], &[end(3, task("old", 0, 0), 1, How::Done)]);
     harness.advance(100);
@@ -129,18 +129,18 @@
 fn ended_job_does_not_start_again_when_its_rows_are_read_again() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let done = job(1, vec![step(1, 1)]);
-    harness.owner.job("a", done.clone(), 150, None);
+    harness.owner.add_job("a", done.clone(), 150, None);
     harness.tick();
     harness.report_status(0, &[], &[end(1, task("a", 0, 0), 1, How::Done)]);
     harness.record();
     harness.take_orders();
-    harness.owner.job("a", done.clone(), 150, None);
+    harness.owner.add_job("a", done.clone(), 150, None);
     harness.tick();
     let again = harness.take_orders();
-    harness.owner.dropped(&["a".to_owned()]);
-    harness.owner.loaded(200);
-    harness.owner.job("old", done.clone(), 199, None);
-    harness.owner.job("new", done, 201, None);
+    harness.owner.remove_ended_jobs(&["a".to_owned()]);
+    harness.owner.jobs_loaded(200);
+    harness.owner.add_job("old", done.clone(), 199, None);
+    harness.owner.add_job("new", done, 201, None);
     harness.tick();
     assert_snapshot!(format!("{again}\n{}", harness.take_orders()), @r"
     nothing
--- a/crates/dispatch/tests/throttle.rs
+++ b/crates/dispatch/tests/throttle.rs
@@ -15,8 +15,8 @@
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     let serves = Step { perpetual: true, target: 100, ..step(1, 1) };
     let fills = Step { fills: true, estimate: 60_000, ..step(1, 1) };
-    harness.owner.job("serves", job(1, vec![serves]), 150, None);
-    harness.owner.job("fills", job(2, vec![fills]), 151, None);
+    harness.owner.add_job("serves", job(1, vec![serves]), 150, None);
+    harness.owner.add_job("fills", job(2, vec![fills]), 151, None);
     harness.tick();
     harness.take_orders();
     harness
@@ -54,7 +54,7 @@
 fn no_more_tasks_of_a_perpetual_step_are_preempted_than_may_be_missing() {
     let mut harness = Harness::new(1, 3).with_idle_workers(3);
     let perpetual = Step { perpetual: true, may_miss: 1, ..step(3, 8) };
-    harness.owner.job("lasts", job(1, vec![perpetual]), 150, None);
+    harness.owner.add_job("lasts", job(1, vec![perpetual]), 150, None);
     harness.tick();
     let serving = |index| Run { percent: 100, ..harness::run(task("lasts", 0, index), 1) };
     for number in 0..3u32 {
@@ -69,7 +69,7 @@
     };
     let mut orders = Vec::new();
     for (number, name) in [(200, "u"), (201, "v")] {
-        harness.owner.job(name, urgent_job(harness.now), number, None);
+        harness.owner.add_job(name, urgent_job(harness.now), number, None);
         harness.tick();
         orders.push(format!("{name}: {}", harness.take_orders()));
     }
--- a/crates/dispatch/tests/unlisted_runs.rs
+++ b/crates/dispatch/tests/unlisted_runs.rs
@@ -14,7 +14,7 @@
 #[test]
 fn run_that_an_idle_worker_does_not_list_is_stopped_and_starts_again() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     harness.advance(100);
--- a/crates/dispatch/tests/unproven.rs
+++ b/crates/dispatch/tests/unproven.rs
@@ -35,14 +35,14 @@
 #[test]
 fn job_received_twice_or_late_is_one_job() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.loaded(100);
+    harness.owner.jobs_loaded(100);
     let row = job(1, vec![step(1, 1)]);
     for version in [150, 150, 90] {
-        harness.owner.job("a", row.clone(), version, None);
+        harness.owner.add_job("a", row.clone(), version, None);
         harness.tick();
     }
     harness.owner.cancel("a", harness.now);
-    harness.owner.job("a", row, 150, None);
+    harness.owner.add_job("a", row, 150, None);
     harness.tick();
     assert_snapshot!(harness.take_orders());
 }
@@ -53,12 +53,12 @@
 #[test]
 fn owner_is_certain_of_its_ownership_for_500_ms_after_a_write() {
     let mut harness = Harness::new(1, 1);
-    let after_claim = harness.owner.surely_owns(harness.now);
-    harness.owner.renew(harness.now);
+    let after_claim = harness.owner.holds_ownership(harness.now);
+    harness.owner.renew_ownership(harness.now);
     let after_write: Vec<bool> =
-        [0, 400, 499, 500, 5000].map(|ms| harness.owner.surely_owns(harness.now + ms)).to_vec();
-    harness.owner.renew(harness.now - 300);
-    let older_write = harness.owner.surely_owns(harness.now + 300);
+        [0, 400, 499, 500, 5000].map(|ms| harness.owner.holds_ownership(harness.now + ms)).to_vec();
+    harness.owner.renew_ownership(harness.now - 300);
+    let older_write = harness.owner.holds_ownership(harness.now + 300);
     assert_snapshot!(format!("{after_claim} {after_write:?} {older_write}"), @r"
     false [true, true, true, false, false] true
     ");
--- a/crates/dispatch/tests/unready_workers.rs
+++ b/crates/dispatch/tests/unready_workers.rs
@@ -16,8 +16,8 @@
     let worker = harness::worker(0).incarnation();
     harness.deliver(0, Notice::Broke { worker, starts: Vec::new() });
     let gang = |count| Step { gang: true, ..step(count, 8) };
-    harness.owner.job("two", job(0, vec![gang(2)]), 150, None);
-    harness.owner.job("one", job(0, vec![gang(1)]), 151, None);
+    harness.owner.add_job("two", job(0, vec![gang(2)]), 150, None);
+    harness.owner.add_job("one", job(0, vec![gang(1)]), 151, None);
     harness.tick();
     let broken = harness.take_orders();
     harness.report_status(0, &[], &[]);
@@ -41,12 +41,12 @@
         harness.deliver(0, Notice::Status { stamp, worker, fenced: true, running, ended });
     };
     report_worker(&mut harness, cold(800));
-    harness.owner.job("cold", job(0, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("cold", job(0, vec![step(1, 1)]), 150, None);
     harness.tick();
     harness.advance(500);
     report_worker(&mut harness, cold(800));
     harness.advance(400);
-    harness.owner.job("warm", job(0, vec![step(1, 8)]), 151, None);
+    harness.owner.add_job("warm", job(0, vec![step(1, 8)]), 151, None);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @r"
     w1 start cold.0.0.0 run 1 
--- a/crates/dispatch/tests/upkeep.rs
+++ b/crates/dispatch/tests/upkeep.rs
@@ -110,14 +110,14 @@
 fn busy_machine_takes_nothing_new_and_goes_down_when_the_wave_runs_out_of_time() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     advance(&mut harness, 3000, 1);
-    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     harness.take_orders();
     harness.owner.wave(&wave(1, 1, 10_000), None, harness.now);
     send_machine_list(&mut harness, &[Condition::Up]);
     harness.tick();
-    harness.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
+    harness.owner.add_job("b", job(1, vec![step(1, 1)]), 151, None);
     advance(&mut harness, 500, 1);
     let busy = harness.take_orders();
     for percent in [20, 30, 40, 50, 60, 70] {
@@ -138,7 +138,7 @@
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     advance(&mut harness, 3000, 2);
     let lasts = Step { perpetual: true, may_miss: 1, ..step(2, 8) };
-    harness.owner.job("a", job(1, vec![lasts]), 150, None);
+    harness.owner.add_job("a", job(1, vec![lasts]), 150, None);
     harness.tick();
     let serving = |index| Run { percent: 100, ..run(task("a", 0, index), 1) };
     harness.report_status(0, &[serving(0)], &[]);
@@ -188,7 +188,7 @@
     harness.tick();
     harness.owner.taken(1, "m0", Taken::Begun, harness.now);
     harness.take_orders();
-    harness.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
     let before = harness.take_orders();
     advance(&mut harness, 500, 1);
--- a/crates/dispatch/tests/waits.rs
+++ b/crates/dispatch/tests/waits.rs
@@ -19,7 +19,7 @@
 /// Adds a job that is accepted now.
 fn add_job(harness: &mut Harness, id: &str, version: u64, job: Job) {
     let accepted = harness.now;
-    harness.owner.job(id, Job { accepted, ..job }, version, None);
+    harness.owner.add_job(id, Job { accepted, ..job }, version, None);
     harness.tick();
 }
 
@@ -217,11 +217,11 @@
         add_job(&mut harness, name, number, job(1, vec![step(1, 8), step(2, 16)]));
     }
     harness.advance_with_pings(900, 1);
-    let before = format!("{:?}", harness.owner.waiting());
+    let before = format!("{:?}", harness.owner.long_waits());
     harness.advance_with_pings(100, 1);
-    let after = format!("{:?}", harness.owner.waiting());
+    let after = format!("{:?}", harness.owner.long_waits());
     harness.owner.cancel("c", harness.now);
-    let cancelled = format!("{:?}", harness.owner.waiting());
+    let cancelled = format!("{:?}", harness.owner.long_waits());
     assert_snapshot!(format!("{before}\n{after}\n{cancelled}"), @r"
     {}
     {Few: 3, Room: 2}
@@ -268,7 +268,7 @@
 fn wait_lines_are_limited_per_second_and_the_rest_is_counted() {
     let mut harness = idle_owner(1);
     for number in 10..35 {
-        harness.owner.job(&format!("a{number}"), job(1, vec![step(1, 16)]), 150 + number, None);
+        harness.owner.add_job(&format!("a{number}"), job(1, vec![step(1, 16)]), 150 + number, None);
     }
     harness.tick();
     let mut seconds = Vec::new();
@@ -294,8 +294,8 @@
 fn new_owner_logs_once_which_agents_older_jobs_wait_for() {
     let mut harness = Harness::new(2, 4);
     harness.logged_events = vec!["waits", "unsettled", "settled"];
-    harness.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
-    harness.owner.job("older", job(1, vec![step(1, 1), step(1, 1)]), 49, None);
+    harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
+    harness.owner.add_job("older", job(1, vec![step(1, 1), step(1, 1)]), 49, None);
     for number in [0, 2, 3] {
         harness.connect(number);
     }
@@ -332,11 +332,11 @@
 fn wait_for_agents_counts_towards_the_next_cause() {
     let mut harness = Harness::new(2, 2);
     harness.logged_events = vec!["waits", "unsettled", "settled"];
-    harness.owner.job("old", job(1, vec![step(1, 16)]), 50, None);
+    harness.owner.add_job("old", job(1, vec![step(1, 16)]), 50, None);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     harness.advance_with_pings(1500, 1);
-    let counts = format!("{:?}", harness.owner.waiting());
+    let counts = format!("{:?}", harness.owner.long_waits());
     harness.connect(1);
     harness.report_status(1, &[], &[]);
     assert_snapshot!(format!("{counts}\n{}", harness.take_logs()), @r"
--- a/crates/dispatch/tests/worker_shutdown.rs
+++ b/crates/dispatch/tests/worker_shutdown.rs
@@ -13,7 +13,7 @@
 #[test]
 fn runs_of_a_worker_that_shut_down_start_elsewhere_at_once() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
+    harness.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
     let first = harness.take_orders();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
--- a/crates/runner/tests/starts.rs
+++ b/crates/runner/tests/starts.rs
@@ -2,7 +2,7 @@
 
 use insta::assert_snapshot;
 use quincewheel_job::{End, Evacuation, How, Need, Run, Task, Worker};
-use quincewheel_runner::{Action, Beat, Call, Fault, Output, Reply, Runner, Settings};
+use quincewheel_runner::{Action, Call, Fault, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Notice, Order, Refused};
 
 struct Bed {
@@ -17,7 +17,7 @@
     fn open() -> Bed {
         let runner = Runner::open(Settings::default());
         let mut bed = Bed { runner, now: 1000, calls: Vec::new(), lines: Vec::new() };
-        bed.runner.beat(&beat(&worker(false), "10.0.0.1:80", 50_000), bed.now);
+        bed.runner.on_heartbeat(&heartbeat(&worker(false), "10.0.0.1:80", 50_000), bed.now);
         bed.order(Order::Claim { epoch: 3 });
         bed.order(Order::Grant { stamp: 1000 });
         bed.held(&[], &[]);
@@ -26,7 +26,7 @@
     }
 
     fn order(&mut self, order: Order) {
-        self.runner.order(1, order, self.now);
+        self.runner.on_order(1, order, self.now);
         self.drain();
     }
 
@@ -56,7 +56,7 @@
         let held = |call: &Call| matches!(call.action, Action::Hold { .. });
         let place = self.calls.iter().position(|(_, call)| !held(call)).expect("a call");
         let (id, _) = self.calls.remove(place);
-        self.runner.answer(id, answer, self.now);
+        self.runner.on_reply(id, answer, self.now);
         self.drain();
     }
 
@@ -67,7 +67,7 @@
         let (id, _) = self.calls.remove(place);
         let clock = 50_000 + self.now;
         let (running, ended) = (running.to_vec(), ended.to_vec());
-        self.runner.answer(id, Ok(Reply::Held { born: 0, clock, running, ended }), self.now);
+        self.runner.on_reply(id, Ok(Reply::Held { born: 0, clock, running, ended }), self.now);
         self.drain();
     }
 
@@ -103,9 +103,13 @@
 fn called(call: &Call) -> String {
     match &call.action {
         Action::Pace { task, run, percent } => format!("> pace {task} run {run} at {percent}"),
-        Action::Start { task, run, until, .. } => format!("> start {task} run {run} until {until}"),
+        Action::Start { task, run, lease_end, .. } => {
+            format!("> start {task} run {run} until {lease_end}")
+        }
         Action::Stop { task, run } => format!("> stop {task} run {run}"),
-        Action::Hold { seen, wait, .. } => format!("> hold seen {seen} wait {wait}"),
+        Action::Hold { acknowledged, wait, .. } => {
+            format!("> hold seen {acknowledged} wait {wait}")
+        }
     }
 }
 
@@ -181,7 +185,7 @@
 #[test]
 fn a_start_that_the_agent_refuses_by_itself_is_settled_with_the_worker() {
     let mut bed = Bed::open();
-    bed.runner.beat(&beat(&worker(true), "10.0.0.1:80", 50_100), bed.now);
+    bed.runner.on_heartbeat(&heartbeat(&worker(true), "10.0.0.1:80", 50_100), bed.now);
     bed.drain();
     bed.start(4);
     bed.answer(ok());
@@ -216,10 +220,10 @@
         let stamp = bed.now;
         bed.order(Order::Grant { stamp });
         let (id, call) = bed.calls.pop().expect("a look");
-        if let Action::Hold { until: Some(until), .. } = call.action {
-            ends.push(until.to_string());
+        if let Action::Hold { lease_end: Some(lease_end), .. } = call.action {
+            ends.push(lease_end.to_string());
         }
-        bed.runner.answer(id, silence(), bed.now);
+        bed.runner.on_reply(id, silence(), bed.now);
         bed.pass(300);
     }
     assert_snapshot!(ends.join("\n"), @r"
@@ -240,7 +244,7 @@
     bed.answer(ok());
     bed.told();
     let (id, _) = bed.calls.pop().expect("a look");
-    bed.runner.answer(id, silence(), bed.now);
+    bed.runner.on_reply(id, silence(), bed.now);
     bed.pass(300);
     assert_snapshot!(bed.told(), @r"> hold seen 0 wait 0");
 }
@@ -257,8 +261,8 @@
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
 
 // Symptom: a task starts in a zone that operators evacuate, by an order that was on its way. Sequence: the
