--- a/crates/dispatch/tests/crashes.rs
+++ b/crates/dispatch/tests/crashes.rs
@@ -197,7 +197,7 @@
 }
 
 // A task kept crashing workers on platforms that list no machines, and where the list comes late.
-// The next incarnation answers a poll that was meant for the former one before it reports itself;
+// The next incarnation answers a poll that was meant for the previous one before it reports itself;
 // until then its agent knows no worker and says so. The incarnation that reported next was compared
 // with none, and the crash was not counted.
 #[test]
--- a/crates/dispatch/tests/election.rs
+++ b/crates/dispatch/tests/election.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn restarted_entry_replaces_its_former_incarnation_at_once() {
+fn restarted_entry_replaces_its_previous_incarnation_at_once() {
     let election = Election::open("a", 2, 2500);
     let due = |row: Option<(Ownership, u64)>| election.due(row.as_ref(), 10, 10, false);
     let results = [due(owner("a", 1)), due(owner("a", 2)), due(owner("", 7)), due(None)];
@@ -160,10 +160,10 @@
     assert_snapshot!(format!("{due:?}"), @"[false, false, false, true]");
 }
 
-// The former owner asks one of the largest entries to which the table answers; the first in order
+// The previous owner asks one of the largest entries to which the table answers; the first in order
 // may be cut off as well.
 #[test]
-fn entry_asked_by_the_former_owner_claims_at_once() {
+fn entry_asked_by_the_previous_owner_claims_at_once() {
     let mut election = Election::open("z-small", 1, 1700);
     let row = owner("", 7);
     election.stand(9);
--- a/crates/dispatch/tests/machine_list.rs
+++ b/crates/dispatch/tests/machine_list.rs
@@ -172,7 +172,7 @@
     ");
 }
 
-// A listed worker that nobody has heard from may run what the former owner started.
+// A listed worker that nobody has heard from may run what the previous owner started.
 #[test]
 fn new_owner_waits_for_a_listed_worker_that_has_not_reported() {
     let mut harness = new_owner();
@@ -191,7 +191,7 @@
 
 // An agent whose worker has just restarted was dismissed and took no work for 2 s. A worker crashes
 // and is missed; the list is requested; another incarnation reports; then the list arrives, which
-// is older than that incarnation. The new one inherited the time at which the former one was
+// is older than that incarnation. The new one inherited the time at which the previous one was
 // missed.
 #[test]
 fn list_older_than_an_incarnation_does_not_dismiss_it() {
--- a/crates/dispatch/tests/upkeep.rs
+++ b/crates/dispatch/tests/maintenance.rs
@@ -27,7 +27,7 @@
     harness.owner.machines(machines, true, 1, harness.now);
 }
 
-/// Returns the record of a wave that a former owner began.
+/// Returns the record of a wave that a previous owner began.
 fn wave_record(done: bool) -> Seen {
     Seen { at: 0, done }
 }
@@ -162,7 +162,7 @@
 
 // Two owners sent calls for one machine in turn, since a new owner began at once.
 #[test]
-fn new_owner_sends_no_maintenance_calls_before_the_former_owners_turn_is_over() {
+fn new_owner_sends_no_maintenance_calls_before_the_previous_owners_turn_is_over() {
     let mut harness = Harness::new(2, 1).with_idle_workers(1);
     harness.owner.wave(&wave(1, 1, 60_000), Some(wave_record(false)), harness.now);
     send_machine_list(&mut harness, &[Condition::Up]);
@@ -177,10 +177,10 @@
 }
 
 // A worker got no work after a change of owner: the new owner sends the call for a machine that the
-// former one had taken down, the platform answers that it is done, and the worker is up. The
+// previous one had taken down, the platform answers that it is done, and the worker is up. The
 // machine was counted as about to go down.
 #[test]
-fn machine_maintained_under_a_former_owner_takes_work() {
+fn machine_maintained_under_a_previous_owner_takes_work() {
     let mut harness = Harness::new(2, 1).with_idle_workers(1);
     advance(&mut harness, 3000, 1);
     harness.owner.wave(&wave(1, 1, 60_000), Some(wave_record(false)), harness.now);
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -83,10 +83,10 @@
 }
 
 // A task ran twice. The owner loses the table but not its agents; another entry takes over and
-// reaches few agents; the former owner is not aware of it and goes on granting leases to the
+// reaches few agents; the previous owner is not aware of it and goes on granting leases to the
 // others. The new owner counted their leases from its own claim.
 #[test]
-fn new_owner_connected_to_few_agents_waits_until_the_former_one_stops_granting() {
+fn new_owner_connected_to_few_agents_waits_until_the_previous_one_stops_granting() {
     let mut harness = Harness::new(2, 3);
     harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     harness.connect(0);
@@ -101,7 +101,7 @@
     ");
 }
 
-// A task ran twice. A worker from the former owner's time carries out every renewal of its lease
+// A task ran twice. A worker from the previous owner's time carries out every renewal of its lease
 // but answers nothing. Its lease was counted from the claim, though its agent went on renewing it.
 #[test]
 fn new_owner_waits_for_an_unresponsive_worker_until_its_silence_reaches_a_lease() {
--- a/crates/dispatch/tests/mirror.rs
+++ b/crates/dispatch/tests/mirror.rs
@@ -147,8 +147,9 @@
 }
 
 // A client got "no such job" for one that this entry had just accepted, and the owner did not
-// decide over it. The table loses its history, so all rows are read; a job is stored and received
-// while the answer is on its way. The known rows were replaced by an answer that was older.
+// decide over it. The table's history is compacted, so all rows are read; a job is stored and
+// received while the answer is on its way. The known rows were replaced by an answer that was
+// older.
 #[test]
 fn job_stored_after_all_rows_were_read_is_kept() {
     let mut mirror = Mirror::default();
--- a/crates/dispatch/tests/preemption.rs
+++ b/crates/dispatch/tests/preemption.rs
@@ -202,7 +202,7 @@
 }
 
 // At the end of a day a job stood still beside idle workers: little runs, and the last whole
-// workers are reserved for urgent work that does not come. The job has ten seconds of slack and
+// workers are kept free for urgent work that does not come. The job has ten seconds of slack and
 // waited until it had used them up.
 #[test]
 fn job_of_which_nothing_runs_starts_in_a_pool_that_is_half_free() {
--- a/crates/dispatch/tests/former_owner_leases.rs
+++ b/crates/dispatch/tests/previous_owner_leases.rs
@@ -1,4 +1,4 @@
-//! Leases that a former owner grants while it is cut off, and when a new owner starts their work
+//! Leases that a previous owner grants while it is cut off, and when a new owner starts their work
 //! elsewhere.
 
 mod harness;
@@ -10,12 +10,12 @@
 /// Shortest lease that a worker may derive from a grant, assuming that its clock runs 2 % slow.
 const SHORTEST_LEASE_MS: u64 = 5880;
 
-/// Time of the last write that the table confirmed to the former owner.
+/// Time of the last write that the table confirmed to the previous owner.
 const LAST_WRITE_AT: u64 = 10_000;
 
 // A task ran twice, for up to a second. The owner and one agent are cut off from the table and from
 // the other agents; another entry takes over 1.7 s after the owner's last write and connects to all
-// other agents at once, while the former owner goes on granting leases to the agent beside it. It
+// other agents at once, while the previous owner goes on granting leases to the agent beside it. It
 // grants while it is in contact with most agents, and counted connections that carry nothing as
 // contact until 2.5 s after the last message; the new owner assumed that it granted nothing once
 // most agents followed the new one.
@@ -78,19 +78,19 @@
     }
 }
 
-/// Cuts a former owner off from two of three agents at `cut`; the next owner claims at `claimed`.
-/// The agents ping the former owner at these milliseconds of each second. Returns the stamp of its
+/// Cuts a previous owner off from two of three agents at `cut`; the next owner claims at `claimed`.
+/// The agents ping the previous owner at these milliseconds of each second. Returns the stamp of its
 /// last grant to the first agent, and when the work of that agent's worker starts elsewhere.
 fn last_grant_and_start(cut: u64, claimed: u64, pings: [u64; 3]) -> (u64, u64) {
     let written = LAST_WRITE_AT;
-    let mut former = Owner::new(Settings::default(), 1, 1, 9_000);
+    let mut predecessor = Owner::new(Settings::default(), 1, 1, 9_000);
     for number in 0..3 {
-        former.linked(&format!("w{number}"), number, 9_000);
+        predecessor.linked(&format!("w{number}"), number, 9_000);
         let running = if number == 0 { vec![run(task("old", 0, 0), 1)] } else { Vec::new() };
-        former.on_notice(number, status(number, 9_000, &running), 9_000);
+        predecessor.on_notice(number, status(number, 9_000, &running), 9_000);
     }
-    former.take_outputs();
-    former.confirm_ownership(written);
+    predecessor.take_outputs();
+    predecessor.confirm_ownership(written);
     let mut harness = Harness::new(2, 0);
     harness.now = claimed;
     harness.owner = Owner::new(Settings::default(), 2, harness::CLAIM_VERSION, claimed);
@@ -102,11 +102,11 @@
     for now in (9_100..25_000).step_by(100) {
         for (number, ping) in (0..3).zip(pings) {
             if now % 1000 == ping && (number == 0 || now < cut) {
-                former.on_notice(number, Notice::Ping { stamp: now, silent: 0 }, now);
+                predecessor.on_notice(number, Notice::Ping { stamp: now, silent: 0 }, now);
             }
         }
-        former.tick(now, now);
-        for output in former.take_outputs() {
+        predecessor.tick(now, now);
+        for output in predecessor.take_outputs() {
             if let Output::Send { link: 0, order: Order::Grant { stamp } } = output {
                 granted = stamp;
             }
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -49,9 +49,9 @@
 }
 
 // A call names a worker by its id only, so the next incarnation may carry out a start that was sent
-// to the former one: the task would run twice if it started elsewhere at once.
+// to the previous one: the task would run twice if it started elsewhere at once.
 #[test]
-fn start_that_a_former_incarnation_never_listed_is_stopped_before_it_starts_elsewhere() {
+fn start_that_a_previous_incarnation_never_listed_is_stopped_before_it_starts_elsewhere() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
@@ -69,9 +69,9 @@
     ");
 }
 
-// A run that the former incarnation had listed has certainly ended with it.
+// A run that the previous incarnation had listed has certainly ended with it.
 #[test]
-fn run_that_a_former_incarnation_listed_starts_again_at_once() {
+fn run_that_a_previous_incarnation_listed_starts_again_at_once() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
@@ -83,7 +83,7 @@
 
 // A sound task was suspected of crashing workers: an agent's machine restarts, and its clock begins
 // again, while the task runs on. The time for which it had been listed was counted from a stamp of
-// the former clock, which the new one does not reach for as long as the machine had been up.
+// the previous clock, which the new one does not reach for as long as the machine had been up.
 #[test]
 fn task_outlives_its_start_though_its_agents_clock_restarted() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -72,7 +72,8 @@
 
 // After all processes were killed, older jobs stood still for 14 s. Half of the workers are lost
 // for good and all processes end; the entry that owned comes back and claims again. It waited for a
-// former owner that might still be running, cut off, though that was its own former incarnation.
+// previous owner that might still be running, cut off, though that was its own previous
+// incarnation.
 #[test]
 fn restarted_owner_waits_only_one_lease_after_its_own_ownership() {
     let mut harness = Harness::new(2, 4);
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn ends_that_the_former_owner_did_not_record_count() {
+fn ends_that_the_previous_owner_did_not_record_count() {
     let mut harness = Harness::new(2, 1);
     harness.owner.add_job("old", job(1, vec![step(1, 1), step(1, 1)]), 50, None);
     harness.connect(0);
@@ -122,9 +123,9 @@
     ");
 }
 
-// A task ran again after it was done. A job ends and is recorded; the table loses its history, and
-// all rows are read again by a call that was answered before that record. The job's row was taken
-// for a new job.
+// A task ran again after it was done. A job ends and is recorded; the table's history is compacted,
+// and all rows are read again by a call that was answered before that record. The job's row was
+// taken for a new job.
 #[test]
 fn ended_job_does_not_start_again_when_its_rows_are_read_again() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
--- a/crates/dispatch/tests/unproven.rs
+++ b/crates/dispatch/tests/unconfirmed_jobs.rs
@@ -7,7 +7,7 @@
 use quincewheel_dispatch::Unproven;
 
 // A task started twice, milliseconds apart. An owner is cut off from the table; another entry
-// claims, and a job is stored after that; the entry that stored it sends it to the former owner,
+// claims, and a job is stored after that; the entry that stored it sends it to the previous owner,
 // which still decides. Unlike the feed, a job that is sent directly does not show the claims before
 // it.
 #[test]
--- a/crates/dispatch/tests/waits.rs
+++ b/crates/dispatch/tests/waits.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn workers_reserved_for_urgent_work_are_logged() {
+fn workers_kept_free_for_urgent_work_are_logged() {
     let mut harness = idle_owner(6);
     let need = Need { cpu: 60_000, memory: 250_000, accelerators: 8 };
     let mut relaxed = job(1, vec![Step { estimate: 9000, need, ..step(1, 8) }]);
