--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -5,7 +5,7 @@
 use crate::lack::Lack;
 use crate::refusals::Refusals;
 use crate::settings::Settings;
-use crate::suspects::Crash;
+use crate::suspects::SuspectedCrash;
 
 /// What the owner knows of one agent and its worker.
 #[derive(Clone, Debug, Default)]
@@ -39,7 +39,7 @@
     pub blame: Blame,
     /// Starts just after which the worker broke its connections, if it has not answered
     /// since: if it is gone, one of them has crashed it.
-    pub crash: Option<Crash>,
+    pub crash: Option<SuspectedCrash>,
     /// Starts that its worker refused of late.
     pub refusals: Refusals,
     /// Its worker said that it ends, and no other has reported since.
--- a/crates/dispatch/src/batch.rs
+++ b/crates/dispatch/src/batch.rs
@@ -1,7 +1,7 @@
 use quincewheel_job::{Id, Incarnation, Progress};
 
+use crate::checkpoints::Checkpoints;
 use crate::rows;
-use crate::saved::Saved;
 use crate::times::Times;
 
 /// What the owner wants recorded in one transaction.
@@ -10,20 +10,20 @@
     /// Jobs whose progress changed.
     pub jobs: Vec<(Id, Progress)>,
     /// What workers may forget once the batch is recorded.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<AcknowledgedEnds>,
     /// Waves of maintenance that are new, or through.
-    pub waves: Vec<(u64, rows::Seen)>,
+    pub waves: Vec<(u64, rows::WaveRecord)>,
     /// Agents that are no members any more.
     pub gone: Vec<String>,
     /// Checkpoints of jobs whose tasks saved more.
-    pub saved: Vec<(Id, Saved)>,
+    pub saved: Vec<(Id, Checkpoints)>,
     /// Run times, if more were learned since the last batch.
     pub times: Option<Times>,
 }
 
 /// Ends up to `number` of one incarnation of a worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Seen {
+pub struct AcknowledgedEnds {
     /// The worker's agent.
     pub agent: String,
     /// Which incarnation of the worker.
--- a/crates/dispatch/src/board.rs
+++ b/crates/dispatch/src/board.rs
@@ -10,7 +10,7 @@
 use crate::entry::{Key, Phase};
 use crate::owner::Owner;
 use crate::reports::key;
-use crate::suspects::Fresh;
+use crate::suspects::RecentStart;
 use crate::tally::Bar;
 
 /// Workers, what is free on them, and what could be taken away.
@@ -22,7 +22,7 @@
     /// The runs of each unit that stops as a whole.
     pub units: BTreeMap<u64, Vec<(Id, Key)>>,
     /// Places at which something has just started.
-    pub fresh: BTreeMap<usize, Fresh>,
+    pub fresh: BTreeMap<usize, RecentStart>,
 }
 
 /// Places that a step leaves free, by why.
@@ -119,7 +119,7 @@
         let borrowed = self.borrowed();
         let mut taken = BTreeMap::new();
         let mut units: BTreeMap<u64, Vec<(Id, Key)>> = BTreeMap::new();
-        let mut fresh: BTreeMap<usize, Fresh> = BTreeMap::new();
+        let mut fresh: BTreeMap<usize, RecentStart> = BTreeMap::new();
         for (id, entry) in &self.jobs {
             for (key, placed) in &entry.runs {
                 let Some(step) = entry.step(*key) else { continue };
@@ -127,7 +127,7 @@
                 let Some(&place) = places.get(placed.agent.as_str()) else { continue };
                 let need = step.charge();
                 spots[place].free.take(&need);
-                if let Some(started) = Fresh::of(id, entry, *key, placed, now) {
+                if let Some(started) = RecentStart::of(id, entry, *key, placed, now) {
                     started.note(&mut fresh, place);
                 }
                 let hold = match entry.job.queue.priority {
--- a/crates/dispatch/src/saved.rs
+++ b/crates/dispatch/src/checkpoints.rs
@@ -10,7 +10,7 @@
 /// lose it at once, every job would begin anew; with the row, it loses no more
 /// than what was done since the last record.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Saved {
+pub struct Checkpoints {
     /// Occurrence, step, index of the task or 0 for a gang, and the checkpoint.
     tasks: Vec<(u32, u32, u32, String)>,
 }
@@ -19,11 +19,11 @@
 /// task's numbers takes some 40 bytes.
 const MOST: usize = 1000;
 
-impl Saved {
+impl Checkpoints {
     /// A record of these checkpoints.
-    pub(crate) fn open<'a>(tasks: impl Iterator<Item = (&'a Key, &'a String)>) -> Saved {
+    pub(crate) fn open<'a>(tasks: impl Iterator<Item = (&'a Key, &'a String)>) -> Checkpoints {
         let row = |(key, saved): (&Key, &String)| (key.0, key.1, key.2, saved.clone());
-        Saved { tasks: tasks.map(row).take(MOST).collect() }
+        Checkpoints { tasks: tasks.map(row).take(MOST).collect() }
     }
 
     /// The checkpoints by task.
--- a/crates/dispatch/src/advice.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -33,7 +33,7 @@
 
 /// A question to the service.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Question {
+pub struct ClearanceRequest {
     /// The job.
     pub job: Id,
     /// Which time of a scheduled job.
@@ -76,7 +76,7 @@
         now >= self.again && !self.barred.contains(worker) && self.ticket(worker, now).is_none()
     }
 
-    fn learn(&mut self, question: &Question, good: &[(String, String)], until: u64) {
+    fn learn(&mut self, question: &ClearanceRequest, good: &[(String, String)], until: u64) {
         for worker in &question.workers {
             match good.iter().find(|(id, _)| *id == worker.id) {
                 Some((_, text)) => {
@@ -95,7 +95,7 @@
     /// The service answered a question that was sent at `sent`, or did not.
     pub fn advised(
         &mut self,
-        question: &Question,
+        question: &ClearanceRequest,
         answer: Option<(&[(String, String)], u64)>,
         sent: u64,
         now: u64,
@@ -133,7 +133,7 @@
             return;
         }
         let (job, (occurrence, step)) = (candidate.id.clone(), place);
-        let question = Question { job, occurrence, step, workers };
+        let question = ClearanceRequest { job, occurrence, step, workers };
         self.asking = true;
         self.outputs.push(Output::Ask { question });
     }
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -2,9 +2,9 @@
 
 use quincewheel_job::{Id, Incarnation, Job, Progress, Step};
 
-use crate::advice::Clearance;
+use crate::checkpoints::Checkpoints;
+use crate::clearance::Clearance;
 use crate::owner::task;
-use crate::saved::Saved;
 use crate::settings::Settings;
 
 /// An occurrence, a step and a task's index in it.
@@ -144,9 +144,9 @@
     }
 
     /// The checkpoints that are worth a record: those of tasks not yet done.
-    pub fn checkpoints(&self, id: &str) -> Saved {
+    pub fn checkpoints(&self, id: &str) -> Checkpoints {
         let open = self.saved.iter().filter(|(key, _)| !self.progress.done(&task(id, **key)));
-        Saved::open(open)
+        Checkpoints::open(open)
     }
 
     /// The key under which a task's numbers, checkpoint and failures are kept.
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -29,7 +29,7 @@
 
 /// What the owner knows of evacuations, and what it has told of them.
 #[derive(Debug, Default)]
-pub(crate) struct Evacuated {
+pub(crate) struct EvacuationState {
     /// The availability zones.
     zones: Evacuation,
     /// When the operators' rows were last known to say so.
@@ -44,7 +44,7 @@
     looked: u64,
 }
 
-impl Evacuated {
+impl EvacuationState {
     /// True if nothing may start in the availability zone.
     pub fn covers(&self, zone: &str) -> bool {
         self.zones.covers(zone)
--- a/crates/dispatch/src/upkeep.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -13,12 +13,12 @@
 use crate::entry::Placed;
 use crate::output::Output;
 use crate::owner::Owner;
-use crate::rows::Seen;
+use crate::rows::WaveRecord;
 
 /// What the owner knows of maintenance.
 #[derive(Debug, Default)]
-pub(crate) struct Upkeep {
-    waves: BTreeMap<u64, Course>,
+pub(crate) struct Maintenance {
+    waves: BTreeMap<u64, WaveState>,
     machines: BTreeMap<String, Machine>,
     /// When the list that is known was asked for; none before the first.
     listed: Option<u64>,
@@ -28,7 +28,7 @@
     asked: u64,
 }
 
-impl Upkeep {
+impl Maintenance {
     /// Machines that are up, and were not called since the list was asked for.
     /// One that a former owner had taken down already stays up when it is called
     /// again, under the same worker.
@@ -46,7 +46,7 @@
 
 /// A wave under way.
 #[derive(Debug)]
-struct Course {
+struct WaveState {
     wave: Wave,
     /// When it was first seen, in time of day.
     seen: u64,
@@ -62,7 +62,7 @@
 
 /// What became of a call to take a machine down.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
+pub enum TakeDownResult {
     /// It is down, or was already.
     Begun,
     /// It is not up, or about to leave: later.
@@ -86,14 +86,14 @@
 /// the calls, and the next list.
 const TURN: u64 = 2500;
 
-impl Course {
+impl WaveState {
     /// Machines that may be down for this wave.
-    fn down(&self, upkeep: &Upkeep) -> usize {
+    fn down(&self, upkeep: &Maintenance) -> usize {
         let may = |name: &&String| self.may_be_down(name, upkeep);
         self.wave.machines.iter().filter(may).count()
     }
 
-    fn may_be_down(&self, name: &str, upkeep: &Upkeep) -> bool {
+    fn may_be_down(&self, name: &str, upkeep: &Maintenance) -> bool {
         let machine = upkeep.machines.get(name);
         if self.called.contains_key(name) {
             return true;
@@ -109,13 +109,13 @@
     }
 
     /// Machines of the wave that still have their turn before them.
-    fn left<'a>(&'a self, upkeep: &'a Upkeep) -> impl Iterator<Item = &'a Machine> {
+    fn left<'a>(&'a self, upkeep: &'a Maintenance) -> impl Iterator<Item = &'a Machine> {
         let names = self.wave.machines.iter().filter(|name| !self.begun.contains_key(*name));
         names.filter_map(|name| upkeep.machines.get(name))
     }
 
     /// True if each machine of the wave was ever listed, or has had its turn.
-    fn is_known(&self, upkeep: &Upkeep) -> bool {
+    fn is_known(&self, upkeep: &Maintenance) -> bool {
         let known =
             |name: &String| upkeep.machines.contains_key(name) || self.begun.contains_key(name);
         self.wave.machines.iter().all(known)
@@ -130,9 +130,9 @@
 
 impl Owner {
     /// A wave is to be carried out. `known` is what a former owner knew of it.
-    pub fn wave(&mut self, wave: &Wave, known: Option<Seen>, wall: u64) {
+    pub fn wave(&mut self, wave: &Wave, known: Option<WaveRecord>, wall: u64) {
         let done = known.is_some_and(|known| known.done);
-        let course = Course {
+        let course = WaveState {
             wave: wave.clone(),
             seen: known.map_or(wall, |known| known.at),
             recorded: known.is_some(),
@@ -169,24 +169,24 @@
     }
 
     /// The platform answered the call to take a machine down, or did not.
-    pub fn taken(&mut self, number: u64, machine: &str, taken: Taken, now: u64) {
+    pub fn taken(&mut self, number: u64, machine: &str, taken: TakeDownResult, now: u64) {
         let Some(course) = self.upkeep.waves.get_mut(&number) else { return };
         match taken {
-            Taken::Begun => {
+            TakeDownResult::Begun => {
                 course.called.remove(machine);
                 course.begun.insert(machine.to_owned(), now);
             }
-            Taken::Foreign => {
+            TakeDownResult::Foreign => {
                 course.called.remove(machine);
                 course.begun.insert(machine.to_owned(), now);
                 self.reprieve(machine);
             }
-            Taken::Busy | Taken::Refused => {
+            TakeDownResult::Busy | TakeDownResult::Refused => {
                 course.called.remove(machine);
                 self.reprieve(machine);
             }
-            Taken::Unclear => {}
-            Taken::Fenced => {
+            TakeDownResult::Unclear => {}
+            TakeDownResult::Fenced => {
                 course.called.remove(machine);
                 self.outputs.push(Output::Deposed { epoch: self.epoch + 1 });
             }
@@ -221,11 +221,11 @@
     }
 
     /// Waves of which more is to be recorded.
-    pub(crate) fn new_waves(&mut self) -> Vec<(u64, Seen)> {
+    pub(crate) fn new_waves(&mut self) -> Vec<(u64, WaveRecord)> {
         let new = self.upkeep.waves.iter_mut().filter(|(_, course)| !course.recorded);
         new.map(|(number, course)| {
             course.recorded = true;
-            (*number, Seen { at: course.seen, done: course.done })
+            (*number, WaveRecord { at: course.seen, done: course.done })
         })
         .collect()
     }
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -6,15 +6,15 @@
 use quincewheel_store::Change;
 use serde::de::IgnoredAny;
 
-use crate::rows::{Node, OWNER, Ownership, Seen, TIMES};
-use crate::saved::Saved;
+use crate::checkpoints::Checkpoints;
+use crate::rows::{Node, OWNER, Ownership, TIMES, WaveRecord};
 use crate::times::Times;
 
 /// The system's rows as one process knows them.
 #[derive(Debug, Default)]
 pub struct Mirror {
     /// Jobs by name.
-    pub jobs: BTreeMap<Id, View>,
+    pub jobs: BTreeMap<Id, JobView>,
     /// Agents by name.
     pub nodes: BTreeMap<String, Node>,
     /// The ownership row and its version; none if nobody ever owned.
@@ -24,7 +24,7 @@
     /// Run times that owners have learned.
     pub times: Times,
     /// What owners know of waves of maintenance.
-    pub waves: BTreeMap<u64, Seen>,
+    pub waves: BTreeMap<u64, WaveRecord>,
     /// All changes up to this version are in.
     pub version: u64,
     /// When this process first saw that a job had ended, in milliseconds.
@@ -33,7 +33,7 @@
 
 /// What is known of one job.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct JobView {
     /// The job and its row's version; none if only its cancellation is known.
     pub job: Option<(Job, u64)>,
     /// How far it is.
@@ -41,14 +41,14 @@
     /// The version of the row that told it.
     told: u64,
     /// Its checkpoints, as they were recorded.
-    pub saved: Saved,
+    pub saved: Checkpoints,
     /// A client cancelled it.
     pub cancelled: bool,
 }
 
 /// A change that matters beyond the mirror.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum RowEvent {
     /// A job was accepted.
     Job(Id),
     /// A job was cancelled.
@@ -68,7 +68,7 @@
     },
 }
 
-impl View {
+impl JobView {
     /// Takes in how far the job is. An older row that comes late changes nothing:
     /// a client that was told that its job has ended must not be told otherwise.
     pub fn take_progress(&mut self, progress: Progress, version: u64) {
@@ -93,7 +93,7 @@
 impl Mirror {
     /// Takes all rows in anew, as of a version, and tells what they mean. What was
     /// known of a later version stays.
-    pub fn reload(&mut self, changes: &[Change], version: u64) -> Vec<News> {
+    pub fn reload(&mut self, changes: &[Change], version: u64) -> Vec<RowEvent> {
         let known = std::mem::take(&mut self.jobs);
         let (owner, last) = (self.owner.take(), self.last.take());
         *self = Mirror { owner, last, version, ..Mirror::default() };
@@ -116,7 +116,7 @@
     /// Takes in the changes up to a version, and tells what they mean. Two calls may be under
     /// way to the table: those that are in already change nothing, or the row of an agent
     /// that was dropped and written again would be dropped once more.
-    pub fn follow(&mut self, changes: &[Change], version: u64) -> Vec<News> {
+    pub fn follow(&mut self, changes: &[Change], version: u64) -> Vec<RowEvent> {
         let known = self.version;
         let new = changes.iter().filter(|change| change.version > known);
         let news = new.filter_map(|change| self.apply(change)).collect();
@@ -125,7 +125,7 @@
     }
 
     /// Takes a change in and tells what it means.
-    pub fn apply(&mut self, change: &Change) -> Option<News> {
+    pub fn apply(&mut self, change: &Change) -> Option<RowEvent> {
         if change.key == OWNER {
             return self.apply_owner(change);
         }
@@ -135,7 +135,7 @@
         let (kind, name) = change.key.split_once('/')?;
         let Some(value) = &change.value else {
             self.drop(kind, name);
-            return (kind == "node").then(|| News::Unlisted(name.to_owned()));
+            return (kind == "node").then(|| RowEvent::Unlisted(name.to_owned()));
         };
         let read = match kind {
             "job" => return Some(self.read_job(name, value, change)),
@@ -151,13 +151,13 @@
                 }
                 None
             }),
-            "wave" => serde_json::from_str(value).map(|seen: Seen| {
+            "wave" => serde_json::from_str(value).map(|seen: WaveRecord| {
                 self.waves.extend(name.parse().ok().map(|number: u64| (number, seen)));
                 None
             }),
             "stop" => serde_json::from_str(value).map(|IgnoredAny| {
                 self.jobs.entry(name.to_owned()).or_default().cancelled = true;
-                Some(News::Cancelled(name.to_owned()))
+                Some(RowEvent::Cancelled(name.to_owned()))
             }),
             "node" => return Some(self.read_node(name, value, change)),
             _ => Ok(None),
@@ -199,7 +199,7 @@
 
     /// Jobs of a queue that no task has started of.
     pub fn waiting(&self, queue: &str) -> usize {
-        let waits = |view: &&View| {
+        let waits = |view: &&JobView| {
             let job = view.job.as_ref().map(|(job, _)| job);
             let here = job.is_some_and(|job| job.queue.name == queue);
             here && view.state() == State::Queued
@@ -209,21 +209,21 @@
 
     /// A job that no entry would have accepted is nobody's: decided over, a step that
     /// waits for one that is not there would stand still for ever.
-    fn read_job(&mut self, name: &str, value: &str, change: &Change) -> News {
+    fn read_job(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
         let job: Result<Job, String> = serde_json::from_str(value).map_err(|e| e.to_string());
         match job.and_then(|job| job.check().map(|()| job).map_err(|e| e.to_string())) {
             Err(detail) => malformed(change, detail),
             Ok(job) => {
                 let view = self.jobs.entry(name.to_owned()).or_default();
                 view.job = Some((job, change.version));
-                News::Job(name.to_owned())
+                RowEvent::Job(name.to_owned())
             }
         }
     }
 
     /// A process that cannot be reached is none: an owner would wait a lease for what
     /// runs at an agent that nobody has started.
-    fn read_node(&mut self, name: &str, value: &str, change: &Change) -> News {
+    fn read_node(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
         let node: Result<Node, String> = serde_json::from_str(value).map_err(|e| e.to_string());
         match node {
             Err(detail) => malformed(change, detail),
@@ -232,12 +232,12 @@
             }
             Ok(node) => {
                 self.nodes.insert(name.to_owned(), node);
-                News::Node(name.to_owned())
+                RowEvent::Node(name.to_owned())
             }
         }
     }
 
-    fn apply_owner(&mut self, change: &Change) -> Option<News> {
+    fn apply_owner(&mut self, change: &Change) -> Option<RowEvent> {
         let value = change.value.as_ref()?;
         if self.owner.as_ref().is_some_and(|(_, version)| *version >= change.version) {
             return None;
@@ -248,7 +248,7 @@
                     self.last = Some(owner.holder.clone());
                 }
                 self.owner = Some((owner, change.version));
-                Some(News::Owner)
+                Some(RowEvent::Owner)
             }
             Err(error) => {
                 // A claim must name the version that it replaces, or nobody could own
@@ -260,7 +260,7 @@
         }
     }
 
-    fn apply_times(&mut self, change: &Change) -> Option<News> {
+    fn apply_times(&mut self, change: &Change) -> Option<RowEvent> {
         match serde_json::from_str(change.value.as_ref()?) {
             Ok(times) => {
                 self.times = times;
@@ -283,6 +283,6 @@
     }
 }
 
-fn malformed(change: &Change, detail: String) -> News {
-    News::Malformed { key: change.key.clone(), detail }
+fn malformed(change: &Change, detail: String) -> RowEvent {
+    RowEvent::Malformed { key: change.key.clone(), detail }
 }
--- a/crates/dispatch/src/output.rs
+++ b/crates/dispatch/src/output.rs
@@ -1,6 +1,6 @@
 use quincewheel_wire::{LinkId, Order};
 
-use crate::advice::Question;
+use crate::clearance::ClearanceRequest;
 
 /// What the owner wants done.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -16,7 +16,7 @@
     /// [`crate::Owner::advised`].
     Ask {
         /// What is asked.
-        question: Question,
+        question: ClearanceRequest,
     },
     /// List all machines.
     List,
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -4,20 +4,20 @@
 use quincewheel_wire::{LinkId, Notice, Order};
 
 use crate::agent::Agent;
-use crate::awaited::Awaited;
+use crate::checkpoints::Checkpoints;
 use crate::detail::list;
 use crate::dismissal::Dismissal;
 use crate::election::SOONEST;
 use crate::entry::{Entry, Key, Phase, Placed};
-use crate::evacuation::Evacuated;
+use crate::evacuation::EvacuationState;
 use crate::guide::Guide;
 use crate::listing::Listing;
+use crate::maintenance::Maintenance;
 use crate::output::Output;
 use crate::review::Review;
-use crate::saved::Saved;
 use crate::settings::Settings;
+use crate::settlement::SettlementLog;
 use crate::times::Times;
-use crate::upkeep::Upkeep;
 use crate::waits::Waits;
 
 /// Decides over all jobs.
@@ -72,7 +72,7 @@
     /// Nothing that a former owner started can be unknown any more.
     pub(crate) settled: bool,
     /// What was told of members that older jobs wait for.
-    pub(crate) awaited: Awaited,
+    pub(crate) awaited: SettlementLog,
     /// Workers as they were when what waits was looked at last.
     pub(crate) review: Review,
     /// What waits for its start, and what was told of it.
@@ -82,9 +82,9 @@
     /// What had just started at workers that crashed, where it was several tasks.
     pub(crate) shared: Vec<Vec<Task>>,
     /// Waves of maintenance.
-    pub(crate) upkeep: Upkeep,
+    pub(crate) upkeep: Maintenance,
     /// Availability zones in which nothing starts.
-    pub(crate) evacuated: Evacuated,
+    pub(crate) evacuated: EvacuationState,
     pub(crate) next_unit: u64,
     /// The next time of day at which time alone changes what may start.
     pub(crate) next_due: Option<u64>,
@@ -134,13 +134,13 @@
             followed: None,
             former_gone: false,
             settled: false,
-            awaited: Awaited::default(),
+            awaited: SettlementLog::default(),
             review: Review::default(),
             waits: Waits::default(),
             listing: Listing::default(),
             shared: Vec::new(),
-            upkeep: Upkeep::default(),
-            evacuated: Evacuated::default(),
+            upkeep: Maintenance::default(),
+            evacuated: EvacuationState::default(),
             next_unit: 1,
             next_due: None,
             outputs: Vec::new(),
@@ -248,7 +248,7 @@
     }
 
     /// A job's checkpoints as they were recorded.
-    pub fn restore(&mut self, id: &str, saved: &Saved) {
+    pub fn restore(&mut self, id: &str, saved: &Checkpoints) {
         if let Some(entry) = self.jobs.get_mut(id) {
             for (key, checkpoint) in saved.tasks() {
                 entry.saved.entry(key).or_insert(checkpoint);
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -12,7 +12,7 @@
 use crate::entry::{Entry, Phase, Placed};
 use crate::guide::Guide;
 use crate::owner::{Owner, task};
-use crate::suspects::{Fresh, one_by_one};
+use crate::suspects::{RecentStart, one_by_one};
 
 impl Owner {
     /// Decides what starts now.
@@ -33,7 +33,7 @@
             self.serve(candidate, &mut board, now, wall);
         }
         // What waits for a suspect to outlive its start is decided by time alone.
-        if board.fresh.values().any(|fresh| *fresh == Fresh::Suspect) {
+        if board.fresh.values().any(|fresh| *fresh == RecentStart::Suspect) {
             self.look_again(wall + APART);
         }
         self.note_held_back(now, wall);
@@ -319,7 +319,7 @@
             spot.free.take(&need);
             board.actual[place].take(&need);
             let name = spot.name.clone();
-            let fresh = if candidate.suspect { Fresh::Suspect } else { Fresh::Any };
+            let fresh = if candidate.suspect { RecentStart::Suspect } else { RecentStart::Any };
             fresh.note(&mut board.fresh, place);
             let Some(worker) = self.agents.get(&name).and_then(|agent| agent.worker.as_ref())
             else {
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -7,10 +7,10 @@
 use quincewheel_wire::Order;
 
 use crate::agent::Agent;
-use crate::batch::{Batch, Seen};
+use crate::batch::{AcknowledgedEnds, Batch};
+use crate::checkpoints::Checkpoints;
 use crate::entry::Entry;
 use crate::owner::Owner;
-use crate::saved::Saved;
 
 /// Most jobs in one transaction. The table takes 100 rows; the rest is for the
 /// owner's own, checkpoints, and rows that are dropped.
@@ -40,7 +40,7 @@
             for (name, agent) in self.agents.iter().filter(|(_, agent)| agent.noted > agent.seen) {
                 let Some(worker) = &agent.worker else { continue };
                 let (agent, worker, number) = (name.clone(), worker.incarnation(), agent.noted);
-                batch.seen.push(Seen { agent, worker, number });
+                batch.seen.push(AcknowledgedEnds { agent, worker, number });
             }
             self.urgent = false;
         }
@@ -54,7 +54,7 @@
 
     /// Checkpoints that are to be recorded: one record a job in a while, along
     /// with what is written anyway.
-    fn unsaved(&mut self) -> Vec<(Id, Saved)> {
+    fn unsaved(&mut self) -> Vec<(Id, Checkpoints)> {
         let (now, keep) = (self.now, self.settings.keep);
         let due = |entry: &&mut Entry| entry.unsaved && now >= entry.kept + keep;
         let mut found = Vec::new();
@@ -139,7 +139,7 @@
         }
     }
 
-    fn forget(&mut self, seen: &Seen) {
+    fn forget(&mut self, seen: &AcknowledgedEnds) {
         let Some(agent) = self.agents.get_mut(&seen.agent) else { return };
         if agent.worker.as_ref().is_some_and(|worker| worker.is(&seen.worker)) {
             agent.seen = agent.seen.max(seen.number);
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -11,7 +11,7 @@
 use crate::entry::Reservation;
 use crate::owner::Owner;
 use crate::plan::held;
-use crate::suspects::Fresh;
+use crate::suspects::RecentStart;
 
 impl Owner {
     /// Starts a step on the room that was kept for it. False if that is void.
@@ -41,7 +41,7 @@
         // for void, work at another one would be stopped as well.
         let paused =
             |name: &String| self.agents.get(name).is_some_and(|agent| agent.refusals.until > 0);
-        let trial = |place: &usize| board.fresh.get(place) == Some(&Fresh::Suspect);
+        let trial = |place: &usize| board.fresh.get(place) == Some(&RecentStart::Suspect);
         if now < until && (reservation.agents.iter().any(paused) || places.iter().any(trial)) {
             self.keep_until(until);
             return true;
--- a/crates/dispatch/src/rows.rs
+++ b/crates/dispatch/src/rows.rs
@@ -76,7 +76,7 @@
 
 /// What owners know of a wave of maintenance.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Seen {
+pub struct WaveRecord {
     /// When it was first seen, in milliseconds since 1970.
     pub at: u64,
     /// All its machines have begun. A later owner must not begin anew.
--- a/crates/dispatch/src/awaited.rs
+++ b/crates/dispatch/src/settlement.rs
@@ -13,7 +13,7 @@
 
 /// What was told of the members that an owner waits for.
 #[derive(Debug, Default)]
-pub(crate) struct Awaited {
+pub(crate) struct SettlementLog {
     /// The members, and what each lacks.
     told: Vec<(String, Lack)>,
     /// No look before this time.
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -18,7 +18,7 @@
 
 /// A worker that broke its connections, and the starts that may have crashed it.
 #[derive(Clone, Debug)]
-pub(crate) struct Crash {
+pub(crate) struct SuspectedCrash {
     /// Which incarnation of the worker.
     pub worker: Incarnation,
     /// The tasks and their runs.
@@ -36,7 +36,7 @@
             return;
         }
         let later = there.is_none() && agent.worker.is_some();
-        agent.crash = Some(Crash { worker, starts });
+        agent.crash = Some(SuspectedCrash { worker, starts });
         if later {
             self.blame_crash(name);
         }
@@ -52,7 +52,7 @@
     /// and gives up a task that has crashed too many workers in a row.
     pub(crate) fn blame_crash(&mut self, name: &str) {
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let Some(Crash { starts, .. }) = agent.crash.take() else { return };
+        let Some(SuspectedCrash { starts, .. }) = agent.crash.take() else { return };
         let among = starts.len();
         for (task, run) in &starts {
             self.count_crash(name, task, *run, among);
@@ -195,7 +195,7 @@
     /// it or on what has just started there: for a suspect all at which anything has, for
     /// others those at which a suspect has.
     pub(crate) fn kept_apart(&self, candidate: &Candidate, board: &Board) -> Vec<usize> {
-        let kept = |fresh: Fresh| candidate.suspect || fresh == Fresh::Suspect;
+        let kept = |fresh: RecentStart| candidate.suspect || fresh == RecentStart::Suspect;
         let fresh = board.fresh.iter().filter(|(_, fresh)| kept(**fresh));
         fresh.map(|(place, _)| *place).collect()
     }
@@ -203,26 +203,26 @@
 
 /// What has just started at a worker.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) enum Fresh {
+pub(crate) enum RecentStart {
     /// Tasks of which nothing is known.
     Any,
     /// A task that may have crashed a worker before.
     Suspect,
 }
 
-impl Fresh {
+impl RecentStart {
     /// Takes note of a start at a place.
-    pub fn note(self, fresh: &mut BTreeMap<usize, Fresh>, place: usize) {
+    pub fn note(self, fresh: &mut BTreeMap<usize, RecentStart>, place: usize) {
         let known = fresh.entry(place).or_insert(self);
         *known = self.max(*known);
     }
 
     /// Which it is, if the run has just started.
-    pub fn of(id: &str, entry: &Entry, key: Key, placed: &Placed, now: u64) -> Option<Fresh> {
+    pub fn of(id: &str, entry: &Entry, key: Key, placed: &Placed, now: u64) -> Option<RecentStart> {
         if placed.outlived || now >= placed.confirmed.unwrap_or(now) + APART {
             return None;
         }
-        Some(if entry.crashes(id, key) > 0 { Fresh::Suspect } else { Fresh::Any })
+        Some(if entry.crashes(id, key) > 0 { RecentStart::Suspect } else { RecentStart::Any })
     }
 }
 
@@ -245,7 +245,8 @@
     let slot = |index: u32| entry.key((occurrence, step, index));
     let open = |slot: &Key| !entry.explained.contains(slot);
     let under_way = |(key, placed): (&Key, &Placed)| {
-        open(&entry.key(*key)) && Fresh::of(id, entry, *key, placed, now) == Some(Fresh::Suspect)
+        open(&entry.key(*key))
+            && RecentStart::of(id, entry, *key, placed, now) == Some(RecentStart::Suspect)
     };
     if entry.unrecorded || entry.runs.iter().any(under_way) {
         return Vec::new();
--- a/crates/dispatch/src/unsettled.rs
+++ b/crates/dispatch/src/unanswered_writes.rs
@@ -9,7 +9,7 @@
 /// client would give it up, or submit its work under another name, while it
 /// runs.
 #[derive(Debug, Default)]
-pub struct Unsettled {
+pub struct UnansweredWrites {
     since: BTreeMap<Id, u64>,
 }
 
@@ -19,7 +19,7 @@
 /// Most writes that are remembered; the oldest go first.
 const MOST: usize = 10_000;
 
-impl Unsettled {
+impl UnansweredWrites {
     /// A write for this job got no answer.
     pub fn note(&mut self, id: &str, now: u64) {
         if self.since.len() >= MOST {
--- a/crates/dispatch/src/unproven.rs
+++ b/crates/dispatch/src/unconfirmed_jobs.rs
@@ -9,11 +9,11 @@
 /// this owner that the table performs after the job's: its condition is that nobody else
 /// has claimed.
 #[derive(Debug, Default)]
-pub struct Unproven {
+pub struct UnconfirmedJobs {
     jobs: Vec<(Id, u64)>,
 }
 
-impl Unproven {
+impl UnconfirmedJobs {
     /// True if nothing waits.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
--- a/crates/dispatch/tests/bed/mod.rs
+++ b/crates/dispatch/tests/bed/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use quincewheel_dispatch::{Batch, Output, Owner, Question, Settings};
+use quincewheel_dispatch::{Batch, ClearanceRequest, Output, Owner, Settings};
 use quincewheel_job::{End, How, Job, Need, Queue, Run, Step, Task, Worker};
 use quincewheel_wire::{LinkId, Notice, Order};
 
@@ -10,7 +10,7 @@
     pub owner: Owner,
     pub now: u64,
     pub lines: Vec<String>,
-    pub questions: Vec<Question>,
+    pub questions: Vec<ClearanceRequest>,
     /// Events whose log lines are kept.
     pub events: Vec<&'static str>,
     /// Those lines.
--- a/crates/dispatch/tests/mirror.rs
+++ b/crates/dispatch/tests/mirror.rs
@@ -5,7 +5,7 @@
 use bed::{job, step};
 use insta::assert_snapshot;
 use quincewheel_dispatch::rows::{self, Node, OWNER, Ownership};
-use quincewheel_dispatch::{Mirror, News};
+use quincewheel_dispatch::{Mirror, RowEvent};
 use quincewheel_job::{Progress, State};
 use quincewheel_store::Change;
 
@@ -56,13 +56,13 @@
     let mut mirror = Mirror::default();
     let value = Some("{".to_owned());
     let news = mirror.apply(&Change { key: rows::job("a"), version: 1, value });
-    assert!(matches!(news, Some(News::Malformed { .. })));
+    assert!(matches!(news, Some(RowEvent::Malformed { .. })));
     assert!(mirror.jobs.is_empty());
     let node = Node { address: "10.0.0.1:7000".into(), entry: true, ..Node::default() };
     let first = mirror.apply(&put(rows::node("e1"), 2, &node));
     let again = mirror.apply(&put(rows::node("e1"), 3, &node));
     // Told again, too: a process that announces itself anew wants to be dialled.
-    let news = || Some(News::Node("e1".into()));
+    let news = || Some(RowEvent::Node("e1".into()));
     assert_eq!((first, again), (news(), news()));
 }
 
@@ -108,8 +108,8 @@
     let value = Some(r#"{"address":"10.0.0.1:1"}"#.to_owned());
     let there = mirror.apply(&Change { key: "node/w0".into(), version: 1, value });
     let gone = mirror.apply(&Change { key: "node/w0".into(), version: 2, value: None });
-    assert_eq!(there, Some(News::Node("w0".into())));
-    assert_eq!(gone, Some(News::Unlisted("w0".into())));
+    assert_eq!(there, Some(RowEvent::Node("w0".into())));
+    assert_eq!(gone, Some(RowEvent::Unlisted("w0".into())));
 }
 
 // Symptom: nobody can own the deployment, or a new owner waits a lease for an agent that
@@ -134,13 +134,13 @@
     ] {
         let change = Change { key, version: 9, value: Some(value.to_owned()) };
         let news = mirror.apply(&change);
-        let left_out = matches!(news, Some(News::Malformed { .. }));
+        let left_out = matches!(news, Some(RowEvent::Malformed { .. }));
         told.push(format!("{} left out: {left_out}", change.key));
     }
     let mut endless = job(1, vec![step(1, 1)]);
     endless.steps[0].after = vec![5];
     let news = mirror.apply(&put(rows::job("b"), 10, &endless));
-    told.push(format!("job/b left out: {}", matches!(news, Some(News::Malformed { .. }))));
+    told.push(format!("job/b left out: {}", matches!(news, Some(RowEvent::Malformed { .. }))));
     told.push(format!("{} jobs, {} processes", mirror.jobs.len(), mirror.nodes.len()));
     let (owner, version) = mirror.owner.unwrap();
     told.push(format!("owner {} of epoch {} at version {version}", owner.holder, owner.epoch));
--- a/crates/dispatch/tests/unproven.rs
+++ b/crates/dispatch/tests/unproven.rs
@@ -4,7 +4,7 @@
 
 use bed::{Bed, job, step};
 use insta::assert_snapshot;
-use quincewheel_dispatch::Unproven;
+use quincewheel_dispatch::UnconfirmedJobs;
 
 // Symptom: a task starts twice, milliseconds apart. Sequence: an owner is cut from the
 // table; another entry claims, and a job is stored after that; the entry that stored it
@@ -12,7 +12,7 @@
 // nothing of the claims before it, as the feed does.
 #[test]
 fn a_told_job_is_released_only_by_a_later_write_of_this_owner() {
-    let mut unproven = Unproven::default();
+    let mut unproven = UnconfirmedJobs::default();
     unproven.add("a", 7);
     unproven.add("b", 9);
     let mut told = Vec::new();
--- a/crates/dispatch/tests/unsettled.rs
+++ b/crates/dispatch/tests/unsettled.rs
@@ -1,7 +1,7 @@
 //! What may be said of a submission whose write got no answer.
 
 use insta::assert_snapshot;
-use quincewheel_dispatch::Unsettled;
+use quincewheel_dispatch::UnansweredWrites;
 
 // Symptom: a client is told that its job was not accepted, and the job runs.
 // Sequence: the write gets no answer and takes effect all the same; the client asks
@@ -9,7 +9,7 @@
 // Cause: the entry had forgotten that an earlier write may have taken effect.
 #[test]
 fn a_write_without_an_answer_is_remembered_until_the_row_is_seen() {
-    let mut unsettled = Unsettled::default();
+    let mut unsettled = UnansweredWrites::default();
     unsettled.note("a", 1000);
     unsettled.note("b", 2000);
     unsettled.settle("b");
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_flood_of_them_stays_bounded() {
-    let mut unsettled = Unsettled::default();
+    let mut unsettled = UnansweredWrites::default();
     for number in 0..10_001 {
         unsettled.note(&format!("{number}"), number);
     }
--- a/crates/dispatch/tests/upkeep.rs
+++ b/crates/dispatch/tests/upkeep.rs
@@ -4,8 +4,8 @@
 
 use bed::{Bed, job, run, step, task};
 use insta::assert_snapshot;
-use quincewheel_dispatch::Taken;
-use quincewheel_dispatch::rows::Seen;
+use quincewheel_dispatch::TakeDownResult;
+use quincewheel_dispatch::rows::WaveRecord;
 use quincewheel_job::{Condition, Machine, Run, Step, Wave};
 use quincewheel_wire::Notice;
 
@@ -26,8 +26,8 @@
 }
 
 /// What a former owner recorded.
-fn seen(done: bool) -> Seen {
-    Seen { at: 0, done }
+fn seen(done: bool) -> WaveRecord {
+    WaveRecord { at: 0, done }
 }
 
 /// Passes `ms` while all agents ping.
@@ -59,7 +59,7 @@
         [("m0", [Maintained, Up, Up]), ("m1", [Up, Maintained, Up]), ("m2", [Up, Up, Maintained])]
     {
         bed.step();
-        bed.owner.taken(1, machine, Taken::Begun, bed.now);
+        bed.owner.taken(1, machine, TakeDownResult::Begun, bed.now);
         pass(&mut bed, 500, 3);
         list(&mut bed, &during);
         pass(&mut bed, 500, 3);
@@ -88,7 +88,7 @@
     let mut bed = begun(60_000);
     bed.step();
     let first = bed.told();
-    bed.owner.taken(1, "m0", Taken::Unclear, bed.now);
+    bed.owner.taken(1, "m0", TakeDownResult::Unclear, bed.now);
     list(&mut bed, &[Condition::Up; 3]);
     pass(&mut bed, 1000, 3);
     let waiting = bed.told();
@@ -146,7 +146,7 @@
     list(&mut bed, &[Condition::Up; 2]);
     bed.step();
     let first = bed.told();
-    bed.owner.taken(1, "m0", Taken::Begun, bed.now);
+    bed.owner.taken(1, "m0", TakeDownResult::Begun, bed.now);
     bed.notice(0, Notice::Left { worker: "i0".into() });
     pass(&mut bed, 1000, 2);
     assert_snapshot!(format!("{first}\n-- one is away\n{}", bed.told()), @r"
@@ -184,7 +184,7 @@
     bed.owner.wave(&wave(1, 1, 60_000), Some(seen(false)), bed.now);
     list(&mut bed, &[Condition::Up]);
     bed.step();
-    bed.owner.taken(1, "m0", Taken::Begun, bed.now);
+    bed.owner.taken(1, "m0", TakeDownResult::Begun, bed.now);
     bed.told();
     bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
@@ -205,7 +205,7 @@
 fn a_wave_that_is_through_stays_so_under_a_later_owner() {
     let mut bed = begun(60_000);
     for number in 0..3 {
-        bed.owner.taken(1, &format!("m{number}"), Taken::Begun, bed.now);
+        bed.owner.taken(1, &format!("m{number}"), TakeDownResult::Begun, bed.now);
     }
     pass(&mut bed, 500, 3);
     let recorded = bed.record().waves;
@@ -214,7 +214,7 @@
     list(&mut later, &[Condition::Up]);
     pass(&mut later, 4000, 1);
     assert_snapshot!(format!("{recorded:?}\n{}", later.told()), @r"
-    [(1, Seen { at: 13000, done: true })]
+    [(1, WaveRecord { at: 13000, done: true })]
     wave 1 done true
     ");
 }
@@ -230,12 +230,12 @@
     let first = Machine { name: "m0".into(), condition: Condition::Up, worker: "i0".into() };
     bed.owner.machines(vec![first.clone()], false, 1, bed.now);
     bed.step();
-    bed.owner.taken(1, "m0", Taken::Begun, bed.now);
+    bed.owner.taken(1, "m0", TakeDownResult::Begun, bed.now);
     pass(&mut bed, 500, 2);
     let unread = bed.told();
     list(&mut bed, &[Condition::Maintained, Condition::Up]);
     bed.step();
-    bed.owner.taken(1, "m1", Taken::Begun, bed.now);
+    bed.owner.taken(1, "m1", TakeDownResult::Begun, bed.now);
     // Known before, m1 holds beside an entry that cannot be read.
     bed.owner.machines(vec![first], false, 1, bed.now);
     bed.step();
--- a/crates/entry/src/site/advise.rs
+++ b/crates/entry/src/site/advise.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quincewheel_dispatch::Question;
+use quincewheel_dispatch::ClearanceRequest;
 use quincewheel_platform::Advisor;
 
 use super::own::step;
@@ -25,7 +25,7 @@
     }
 }
 
-async fn ask(shared: &Site, advisor: &Advisor, question: &Question) {
+async fn ask(shared: &Site, advisor: &Advisor, question: &ClearanceRequest) {
     let sent = quincewheel_clock::boot();
     let step_name = (question.job.as_str(), question.occurrence, question.step);
     let workers: Vec<&str> = question.workers.iter().map(|worker| worker.id.as_str()).collect();
@@ -43,7 +43,7 @@
 }
 
 /// How long the service may take: as its queue says, and some time more.
-fn timeout(shared: &Site, question: &Question) -> Duration {
+fn timeout(shared: &Site, question: &ClearanceRequest) -> Duration {
     let mirror = shared.mirror.borrow();
     let job = mirror.jobs.get(&question.job).and_then(|view| view.job.as_ref());
     let advice = job.and_then(|(job, _)| job.queue.advice).unwrap_or_default();
--- a/crates/entry/src/site/calls.rs
+++ b/crates/entry/src/site/calls.rs
@@ -3,7 +3,7 @@
 use std::pin::pin;
 use std::time::Duration;
 
-use quincewheel_dispatch::{View, rows};
+use quincewheel_dispatch::{JobView, rows};
 use quincewheel_http::Body;
 use quincewheel_job::{Answer, Call, Job, Target};
 use quincewheel_platform::Space;
@@ -279,7 +279,7 @@
 
 /// The job as this entry knows it, or else as the table has it: that a job
 /// does not exist may be said only after the table was asked.
-async fn find_job(shared: &Site, id: &str) -> Result<Option<View>, Error> {
+async fn find_job(shared: &Site, id: &str) -> Result<Option<JobView>, Error> {
     let known = shared.mirror.borrow().jobs.get(id).cloned();
     match known {
         Some(view) if view.job.is_some() => Ok(Some(view)),
@@ -288,7 +288,7 @@
 }
 
 /// Reads a job's rows.
-pub(crate) async fn look(shared: &Site, id: &str) -> Result<Option<View>, Error> {
+pub(crate) async fn look(shared: &Site, id: &str) -> Result<Option<JobView>, Error> {
     if shared.is_table_lost() {
         let (step, peer) = ("read", shared.settings.table.clone());
         let detail = "not sent: the table does not answer".to_owned();
@@ -307,7 +307,7 @@
     Ok(found.jobs.remove(id))
 }
 
-fn owned(view: &View, target: &Target) -> bool {
+fn owned(view: &JobView, target: &Target) -> bool {
     let team = view.job.as_ref().map(|(job, _)| &job.team);
     team.is_some_and(|team| *team == target.team)
 }
--- a/crates/entry/src/site/follow.rs
+++ b/crates/entry/src/site/follow.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use futures_util::stream::{self, StreamExt, TryStreamExt};
-use quincewheel_dispatch::{Mirror, News, Owner, rows};
+use quincewheel_dispatch::{Mirror, Owner, RowEvent, rows};
 use quincewheel_platform::{self as platform, Skipped, Space, Table};
 use quincewheel_store::{Change, Changes, Error, Read, scan};
 
@@ -193,16 +193,16 @@
 }
 
 /// Tells the owner, if this entry is it.
-fn tell_owner(shared: &Site, news: News, now: u64) {
-    if news == News::Owner {
+fn tell_owner(shared: &Site, news: RowEvent, now: u64) {
+    if news == RowEvent::Owner {
         return own::check_deposed(shared);
     }
     let mirror = shared.mirror.borrow();
     let mut owner = shared.owner.borrow_mut();
     match news {
-        News::Malformed { key, detail } => unreadable(shared, &key, &detail),
-        News::Owner => unreachable!("handled above, without the owner borrowed"),
-        News::Node(name) => {
+        RowEvent::Malformed { key, detail } => unreadable(shared, &key, &detail),
+        RowEvent::Owner => unreachable!("handled above, without the owner borrowed"),
+        RowEvent::Node(name) => {
             let node = mirror.nodes.get(&name);
             if let Some(node) = node {
                 shared.dials.borrow_mut().forget(&node.address);
@@ -212,17 +212,17 @@
                 owner.agent(&name, now);
             }
         }
-        News::Unlisted(name) => {
+        RowEvent::Unlisted(name) => {
             if let Some(owner) = owner.as_mut() {
                 owner.unlisted(&name);
             }
         }
-        News::Cancelled(id) => {
+        RowEvent::Cancelled(id) => {
             if let Some(owner) = owner.as_mut() {
                 owner.cancel(&id, now);
             }
         }
-        News::Job(id) => {
+        RowEvent::Job(id) => {
             if let Some(owner) = owner.as_mut() {
                 tell_job(owner, &mirror, &id, now);
             }
--- a/crates/entry/src/site/state.rs
+++ b/crates/entry/src/site/state.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 
 use quincewheel_dispatch::rows::Ownership;
-use quincewheel_dispatch::{Election, Mirror, Owner, Question, Unproven, Unsettled};
+use quincewheel_dispatch::{
+    ClearanceRequest, Election, Mirror, Owner, UnansweredWrites, UnconfirmedJobs,
+};
 use quincewheel_job::{Config, Evacuation, Wave};
 use quincewheel_peer::Hub;
 use quincewheel_platform::{self as platform, Bounds, Skip, Table};
@@ -67,13 +69,13 @@
     /// The connection that the owner made to this entry, and the owner's name.
     pub from_owner: RefCell<Option<(LinkId, String)>>,
     /// Jobs that the owner may not decide over yet.
-    pub unproven: RefCell<Unproven>,
+    pub unproven: RefCell<UnconfirmedJobs>,
     /// Questions to other entries that wait for an answer.
     pub asks: RefCell<Asks>,
     /// The owner did not answer one, and is not asked before this time.
     pub owner_silent: Cell<u64>,
     /// Submissions whose write got no answer.
-    pub unsettled: RefCell<Unsettled>,
+    pub unsettled: RefCell<UnansweredWrites>,
     /// Calls in a row that the table did not answer.
     pub failures: Cell<u32>,
     /// Since when the table has not answered; none while it does.
@@ -87,7 +89,7 @@
     /// There is some.
     pub wished: Notify,
     /// The owner's next question to the service that clears steps.
-    pub question: RefCell<Option<Question>>,
+    pub question: RefCell<Option<ClearanceRequest>>,
     /// There is one.
     pub asked: Notify,
     /// The owner's connection to this entry is gone: its row is to be looked at.
--- a/crates/entry/src/site/stores.rs
+++ b/crates/entry/src/site/stores.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use quincewheel_dispatch::{View, rows};
+use quincewheel_dispatch::{JobView, rows};
 use quincewheel_job::{Id, Job};
 use quincewheel_peer::Command;
 use quincewheel_store::{Commit, Error, Expect, Put};
@@ -100,8 +100,8 @@
 /// Whose the row is that was there before.
 async fn stored_before(shared: &Site, id: &str, job: &Job) -> Verdict {
     match look(shared, id).await {
-        Ok(Some(View { job: Some((known, _)), .. })) if known.team == job.team => Verdict::Known,
-        Ok(Some(View { job: Some(_), .. })) => Verdict::Foreign,
+        Ok(Some(JobView { job: Some((known, _)), .. })) if known.team == job.team => Verdict::Known,
+        Ok(Some(JobView { job: Some(_), .. })) => Verdict::Foreign,
         _ => Verdict::Unclear,
     }
 }
