--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -154,7 +154,7 @@
 /// owner drops the row of an agent that it could not reach for long.
 async fn announce(agent: Rc<Agent>, site: platform::Site) {
     let node = Node { address: site.peers.clone(), ..Node::default() };
-    let commit = rows::announce(&site.name, &node);
+    let commit = rows::announcement(&site.name, &node);
     let limit = Limit::default();
     let skip = move |Skipped { list, detail }| {
         if let Some(held) = limit.pass(quincewheel_clock::boot()) {
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -7,7 +7,7 @@
 use serde::de::IgnoredAny;
 
 use crate::checkpoints::Checkpoints;
-use crate::rows::{Node, OWNER, Ownership, TIMES, WaveRecord};
+use crate::rows::{Node, OWNER_KEY, Ownership, TIMES_KEY, WaveRecord};
 use crate::times::Times;
 
 /// The system's rows as one process knows them.
@@ -126,10 +126,10 @@
 
     /// Takes a change in and tells what it means.
     pub fn apply(&mut self, change: &Change) -> Option<RowEvent> {
-        if change.key == OWNER {
+        if change.key == OWNER_KEY {
             return self.apply_owner(change);
         }
-        if change.key == TIMES {
+        if change.key == TIMES_KEY {
             return self.apply_times(change);
         }
         let (kind, name) = change.key.split_once('/')?;
--- a/crates/dispatch/src/rows.rs
+++ b/crates/dispatch/src/rows.rs
@@ -11,66 +11,66 @@
 use serde::{Deserialize, Serialize};
 
 /// Key of the ownership row.
-pub const OWNER: &str = "owner";
+pub const OWNER_KEY: &str = "owner";
 
 /// Key of the row that holds the run times which owners have learned.
-pub const TIMES: &str = "times";
+pub const TIMES_KEY: &str = "times";
 
 /// Parts of the table over which clients' jobs and cancellations are spread. A part takes
 /// one transaction after the other: while a slow table takes 180 ms for each, a single one
 /// takes 5 a second, of which the owner's own writes need all, and refuses what waits for
 /// longer than a second. Clients then wait for seconds, with 200 jobs accepted in 34 s. An
 /// eighth of them is less than one a second for each part.
-const SPREAD: [&str; 8] = ["0", "1", "2", "3", "4", "5", "6", "7"];
+const JOB_PARTS: [&str; 8] = ["0", "1", "2", "3", "4", "5", "6", "7"];
 
 /// The part that the owner's rows and members' lie in.
-const MAIN: &str = "";
+const MAIN_PART: &str = "";
 
 /// The part of the table that a row lies in.
-pub fn part(key: &str) -> &'static str {
+pub fn part_of(key: &str) -> &'static str {
     match key.split_once('/') {
         Some(("job" | "stop", id)) => {
             let sum = id.bytes().fold(0, |sum: usize, byte| sum * 31 % 8191 + usize::from(byte));
-            SPREAD[sum % SPREAD.len()]
+            JOB_PARTS[sum % JOB_PARTS.len()]
         }
-        _ => MAIN,
+        _ => MAIN_PART,
     }
 }
 
 /// All parts that hold rows, jobs first: their checkpoints, which are in the main one, are
 /// taken in only after them.
 pub fn parts() -> impl Iterator<Item = &'static str> {
-    SPREAD.into_iter().chain([MAIN])
+    JOB_PARTS.into_iter().chain([MAIN_PART])
 }
 
 /// Key of a job's row.
-pub fn job(id: &str) -> String {
+pub fn job_key(id: &str) -> String {
     format!("job/{id}")
 }
 
 /// Key of the row that tells how far a job is.
-pub fn run(id: &str) -> String {
+pub fn progress_key(id: &str) -> String {
     format!("run/{id}")
 }
 
 /// Key of the row that cancels a job. It stays when the job is unknown, so
 /// that a submission which a network holds up finds it.
-pub fn stop(id: &str) -> String {
+pub fn cancellation_key(id: &str) -> String {
     format!("stop/{id}")
 }
 
 /// Key of the row that holds a job's checkpoints.
-pub fn save(id: &str) -> String {
+pub fn checkpoints_key(id: &str) -> String {
     format!("save/{id}")
 }
 
 /// Key of a process's row.
-pub fn node(name: &str) -> String {
+pub fn node_key(name: &str) -> String {
     format!("node/{name}")
 }
 
 /// Key of the row that tells when a wave of maintenance was first seen.
-pub fn wave(number: u64) -> String {
+pub fn wave_key(number: u64) -> String {
     format!("wave/{number}")
 }
 
@@ -134,12 +134,12 @@
 }
 
 /// The write by which a process tells where it is.
-pub fn announce(name: &str, node: &Node) -> Commit {
+pub fn announcement(name: &str, node: &Node) -> Commit {
     let value = serde_json::to_string(node).expect("rows are plain data");
-    Commit { put: vec![Put { key: self::node(name), value }], ..Commit::default() }
+    Commit { put: vec![Put { key: node_key(name), value }], ..Commit::default() }
 }
 
 /// The keys of all rows of a job.
-pub fn of_job(id: &str) -> [String; 4] {
-    [job(id), run(id), stop(id), save(id)]
+pub fn job_keys(id: &str) -> [String; 4] {
+    [job_key(id), progress_key(id), cancellation_key(id), checkpoints_key(id)]
 }
--- a/crates/dispatch/tests/election.rs
+++ b/crates/dispatch/tests/election.rs
@@ -94,11 +94,11 @@
         let size = Size { processor: *processor, link: 20 };
         let node = Node { address: "10.0.0.1:7000".into(), entry: true, size };
         let value = serde_json::to_string(&node).ok();
-        mirror.apply(&Change { key: rows::node(name), version: 1, value });
+        mirror.apply(&Change { key: rows::node_key(name), version: 1, value });
     }
     for (owner, version) in owners {
         let value = serde_json::to_string(owner).ok();
-        mirror.apply(&Change { key: rows::OWNER.to_owned(), version: *version, value });
+        mirror.apply(&Change { key: rows::OWNER_KEY.to_owned(), version: *version, value });
     }
     mirror
 }
--- a/crates/dispatch/tests/mirror.rs
+++ b/crates/dispatch/tests/mirror.rs
@@ -4,7 +4,7 @@
 
 use bed::{job, step};
 use insta::assert_snapshot;
-use quincewheel_dispatch::rows::{self, Node, OWNER, Ownership};
+use quincewheel_dispatch::rows::{self, Node, OWNER_KEY, Ownership};
 use quincewheel_dispatch::{Mirror, RowEvent};
 use quincewheel_job::{Progress, State};
 use quincewheel_store::Change;
@@ -26,10 +26,10 @@
     let mut told = Vec::new();
     let state = |mirror: &Mirror| mirror.jobs.get("a").map(|view| view.state());
     for change in [
-        put(rows::stop("a"), 1, &()),
-        put(rows::job("a"), 2, &job(1, vec![step(1, 1)])),
-        put(rows::run("a"), 3, &ended(State::Succeeded)),
-        Change { key: rows::job("a"), version: 4, value: None },
+        put(rows::cancellation_key("a"), 1, &()),
+        put(rows::job_key("a"), 2, &job(1, vec![step(1, 1)])),
+        put(rows::progress_key("a"), 3, &ended(State::Succeeded)),
+        Change { key: rows::job_key("a"), version: 4, value: None },
     ] {
         let news = mirror.apply(&change);
         told.push(format!("{:?} {news:?}", state(&mirror)));
@@ -46,8 +46,8 @@
 fn an_older_ownership_does_not_replace_a_newer_one() {
     let mut mirror = Mirror::default();
     let owner = |epoch| Ownership { holder: "e".into(), epoch, ..Ownership::default() };
-    mirror.apply(&put(OWNER.into(), 9, &owner(4)));
-    let news = mirror.apply(&put(OWNER.into(), 7, &owner(3)));
+    mirror.apply(&put(OWNER_KEY.into(), 9, &owner(4)));
+    let news = mirror.apply(&put(OWNER_KEY.into(), 7, &owner(3)));
     assert_eq!((news, mirror.owner.unwrap().0.epoch), (None, 4));
 }
 
@@ -55,12 +55,12 @@
 fn a_row_that_does_not_hold_what_it_should_is_told_and_left_out() {
     let mut mirror = Mirror::default();
     let value = Some("{".to_owned());
-    let news = mirror.apply(&Change { key: rows::job("a"), version: 1, value });
+    let news = mirror.apply(&Change { key: rows::job_key("a"), version: 1, value });
     assert!(matches!(news, Some(RowEvent::Malformed { .. })));
     assert!(mirror.jobs.is_empty());
     let node = Node { address: "10.0.0.1:7000".into(), entry: true, ..Node::default() };
-    let first = mirror.apply(&put(rows::node("e1"), 2, &node));
-    let again = mirror.apply(&put(rows::node("e1"), 3, &node));
+    let first = mirror.apply(&put(rows::node_key("e1"), 2, &node));
+    let again = mirror.apply(&put(rows::node_key("e1"), 3, &node));
     // Told again, too: a process that announces itself anew wants to be dialled.
     let news = || Some(RowEvent::Node("e1".into()));
     assert_eq!((first, again), (news(), news()));
@@ -72,17 +72,17 @@
 fn ended_jobs_expire_and_others_do_not() {
     let mut mirror = Mirror::default();
     for id in ["a", "b", "c"] {
-        mirror.apply(&put(rows::job(id), 1, &job(1, vec![step(1, 1)])));
+        mirror.apply(&put(rows::job_key(id), 1, &job(1, vec![step(1, 1)])));
     }
-    mirror.apply(&put(rows::run("a"), 2, &ended(State::Failed)));
-    mirror.apply(&put(rows::stop("c"), 3, &()));
+    mirror.apply(&put(rows::progress_key("a"), 2, &ended(State::Failed)));
+    mirror.apply(&put(rows::cancellation_key("c"), 3, &()));
     let told = [
         mirror.expired(1000, 500, 5),
         mirror.expired(1499, 500, 5),
         mirror.expired(1500, 500, 5),
         mirror.expired(1500, 500, 1),
     ];
-    mirror.apply(&Change { key: rows::job("a"), version: 4, value: None });
+    mirror.apply(&Change { key: rows::job_key("a"), version: 4, value: None });
     assert_snapshot!(format!("{told:?} {:?}", mirror.expired(9000, 500, 5)), @r#"[[], [], ["a", "c"], ["a"]] ["c"]"#);
 }
 
@@ -91,10 +91,10 @@
 #[test]
 fn a_row_that_is_told_late_does_not_undo_a_later_one() {
     let mut mirror = Mirror::default();
-    let row = put(rows::job("a"), 1, &job(1, vec![step(1, 1)]));
-    let running = put(rows::run("a"), 5, &ended(State::Running));
+    let row = put(rows::job_key("a"), 1, &job(1, vec![step(1, 1)]));
+    let running = put(rows::progress_key("a"), 5, &ended(State::Running));
     mirror.apply(&row);
-    mirror.apply(&put(rows::run("a"), 9, &ended(State::Succeeded)));
+    mirror.apply(&put(rows::progress_key("a"), 9, &ended(State::Succeeded)));
     mirror.apply(&running);
     let state = |mirror: &Mirror| mirror.jobs.get("a").map(|view| view.state());
     let late = state(&mirror);
@@ -119,17 +119,17 @@
 fn rows_of_another_writer_make_no_owner_no_agent_and_no_job() {
     let mut mirror = Mirror::default();
     let owner = Ownership { holder: "e".into(), epoch: 4, ..Ownership::default() };
-    mirror.apply(&put(OWNER.into(), 3, &owner));
+    mirror.apply(&put(OWNER_KEY.into(), 3, &owner));
     let mut told = Vec::new();
     for (key, value) in [
-        (OWNER.to_owned(), "\u{fffd}"),
-        (rows::node("n1"), r#"{"address":"nowhere"}"#),
-        (rows::node("n2"), r#"{"entry":false}"#),
-        (rows::job("a"), "[]"),
-        (rows::stop("a"), "\u{fffd}"),
-        (rows::run("a"), "7"),
-        (rows::save("a"), "no row"),
-        (rows::wave(1), r#"{"at":"now"}"#),
+        (OWNER_KEY.to_owned(), "\u{fffd}"),
+        (rows::node_key("n1"), r#"{"address":"nowhere"}"#),
+        (rows::node_key("n2"), r#"{"entry":false}"#),
+        (rows::job_key("a"), "[]"),
+        (rows::cancellation_key("a"), "\u{fffd}"),
+        (rows::progress_key("a"), "7"),
+        (rows::checkpoints_key("a"), "no row"),
+        (rows::wave_key(1), r#"{"at":"now"}"#),
         ("times".to_owned(), "{\"queues\":1}"),
     ] {
         let change = Change { key, version: 9, value: Some(value.to_owned()) };
@@ -139,7 +139,7 @@
     }
     let mut endless = job(1, vec![step(1, 1)]);
     endless.steps[0].after = vec![5];
-    let news = mirror.apply(&put(rows::job("b"), 10, &endless));
+    let news = mirror.apply(&put(rows::job_key("b"), 10, &endless));
     told.push(format!("job/b left out: {}", matches!(news, Some(RowEvent::Malformed { .. }))));
     told.push(format!("{} jobs, {} processes", mirror.jobs.len(), mirror.nodes.len()));
     let (owner, version) = mirror.owner.unwrap();
@@ -154,7 +154,8 @@
 #[test]
 fn a_job_stored_since_all_rows_were_read_stays() {
     let mut mirror = Mirror::default();
-    let row = |version| put(rows::job(&format!("j{version}")), version, &job(1, vec![step(1, 1)]));
+    let row =
+        |version| put(rows::job_key(&format!("j{version}")), version, &job(1, vec![step(1, 1)]));
     mirror.apply(&row(4));
     mirror.apply(&row(9));
     mirror.reload(&[row(5)], 7);
@@ -171,9 +172,9 @@
     let mut mirror = Mirror::default();
     let node = |version: u64| {
         let node = Node { address: "10.0.0.1:7000".into(), ..Node::default() };
-        put(rows::node("agent-1"), version, &node)
+        put(rows::node_key("agent-1"), version, &node)
     };
-    let gone = Change { key: rows::node("agent-1"), version: 10, value: None };
+    let gone = Change { key: rows::node_key("agent-1"), version: 10, value: None };
     let changes = [node(8), gone.clone(), node(12)];
     let first = mirror.follow(&changes, 12).len();
     let late = mirror.follow(&[gone], 10);
--- a/crates/dispatch/tests/rows.rs
+++ b/crates/dispatch/tests/rows.rs
@@ -19,9 +19,16 @@
 
 #[test]
 fn all_rows_of_clients_for_one_job_lie_in_one_part() {
-    let together = names(100).all(|id| rows::part(&rows::job(&id)) == rows::part(&rows::stop(&id)));
-    let main = [rows::run("a"), rows::save("a"), rows::node("n"), rows::OWNER.to_owned()];
-    let main: Vec<&str> = main.iter().map(|key| rows::part(key)).collect();
+    let together = names(100).all(|id| {
+        rows::part_of(&rows::job_key(&id)) == rows::part_of(&rows::cancellation_key(&id))
+    });
+    let main = [
+        rows::progress_key("a"),
+        rows::checkpoints_key("a"),
+        rows::node_key("n"),
+        rows::OWNER_KEY.to_owned(),
+    ];
+    let main: Vec<&str> = main.iter().map(|key| rows::part_of(key)).collect();
     let parts: Vec<&str> = rows::parts().collect();
     assert_snapshot!(format!("{together} {main:?}\n{parts:?}"), @r#"
     true ["", "", "", ""]
@@ -32,7 +39,7 @@
 #[test]
 fn jobs_are_spread_evenly() {
     let mut counts: BTreeMap<&str, u64> = BTreeMap::new();
-    names(4000).for_each(|id| *counts.entry(rows::part(&rows::job(&id))).or_default() += 1);
+    names(4000).for_each(|id| *counts.entry(rows::part_of(&rows::job_key(&id))).or_default() += 1);
     let (least, most) = (counts.values().min(), counts.values().max());
     assert!(least >= Some(&420) && most <= Some(&580), "{counts:?}");
 }
@@ -47,7 +54,7 @@
         let mut free: BTreeMap<&str, u64> = BTreeMap::new();
         let mut writes: Vec<(u64, &str)> = (0..4000).step_by(180).map(|at| (at, "")).collect();
         writes.extend((0..).zip(names(4 * JOBS)).map(|(number, id)| {
-            let part = if spread { rows::part(&rows::job(&id)) } else { "" };
+            let part = if spread { rows::part_of(&rows::job_key(&id)) } else { "" };
             (number * 1000 / JOBS, part)
         }));
         writes.sort_unstable();
--- a/crates/entry/src/site/calls.rs
+++ b/crates/entry/src/site/calls.rs
@@ -295,8 +295,8 @@
         return Err(Error::Refused { step, peer, detail });
     }
     let mut found = quincewheel_dispatch::Mirror::default();
-    for key in [rows::job(id), rows::run(id), rows::stop(id)] {
-        let part = rows::part(&key);
+    for key in [rows::job_key(id), rows::progress_key(id), rows::cancellation_key(id)] {
+        let part = rows::part_of(&key);
         let read = Read { prefix: key, after: String::new(), limit: 1 };
         let (page, _) = shared.table.read(Space::Own, part, &read, TIMEOUT).await?;
         for row in page.rows {
--- a/crates/entry/src/site/handover.rs
+++ b/crates/entry/src/site/handover.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use futures_util::future::select_ok;
-use quincewheel_dispatch::rows::{OWNER, Ownership};
+use quincewheel_dispatch::rows::{OWNER_KEY, Ownership};
 use quincewheel_peer::Command;
 use quincewheel_store::{Change, Commit, Error, Expect};
 use quincewheel_wire::{LinkId, Peer};
@@ -99,7 +99,7 @@
 async fn vacate_again(shared: &Site, mine: &Ownership) -> Result<(Commit, u64), Error> {
     let (found, version) = read_owner(shared).await?;
     if found.epoch != mine.epoch || found.holder != mine.holder {
-        return Err(Error::Conflict { key: OWNER.to_owned() });
+        return Err(Error::Conflict { key: OWNER_KEY.to_owned() });
     }
     let commit = vacant(found, version);
     shared.table.commit(&commit, TIMEOUT).await.map(|version| (commit, version))
@@ -122,8 +122,8 @@
     mine.holder = String::new();
     mine.sequence += 1;
     Commit {
-        expect: vec![Expect { key: OWNER.to_owned(), version }],
-        put: vec![put(OWNER.to_owned(), &mine)],
+        expect: vec![Expect { key: OWNER_KEY.to_owned(), version }],
+        put: vec![put(OWNER_KEY.to_owned(), &mine)],
         delete: Vec::new(),
     }
 }
--- a/crates/entry/src/site/links.rs
+++ b/crates/entry/src/site/links.rs
@@ -173,7 +173,7 @@
 
 async fn write_node(shared: &Site, size: Size) {
     let node = Node { address: shared.settings.peers.clone(), entry: true, size };
-    let commit = rows::announce(&shared.settings.name, &node);
+    let commit = rows::announcement(&shared.settings.name, &node);
     let failed = |error: &Error| shared.table_answered(Err(error));
     shared.table.insist(&commit, TIMEOUT, failed).await;
 }
--- a/crates/entry/src/site/own.rs
+++ b/crates/entry/src/site/own.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quincewheel_dispatch::rows::{OWNER, Ownership};
+use quincewheel_dispatch::rows::{OWNER_KEY, Ownership};
 use quincewheel_dispatch::{Output, Owner, Settings};
 use quincewheel_peer::Command;
 use quincewheel_platform::{self as platform, Space};
@@ -101,8 +101,8 @@
         settled: false,
     };
     let commit = Commit {
-        expect: vec![Expect { key: OWNER.to_owned(), version }],
-        put: vec![put(OWNER.to_owned(), &mine)],
+        expect: vec![Expect { key: OWNER_KEY.to_owned(), version }],
+        put: vec![put(OWNER_KEY.to_owned(), &mine)],
         delete: Vec::new(),
     };
     let sent = quincewheel_clock::boot();
--- a/crates/entry/src/site/record.rs
+++ b/crates/entry/src/site/record.rs
@@ -3,7 +3,7 @@
 use std::pin::pin;
 use std::time::Duration;
 
-use quincewheel_dispatch::rows::{self, OWNER, Ownership, TIMES};
+use quincewheel_dispatch::rows::{self, OWNER_KEY, Ownership, TIMES_KEY};
 use quincewheel_dispatch::{Batch, Owner};
 use quincewheel_job::Id;
 use quincewheel_platform::Space;
@@ -72,19 +72,21 @@
     mine.sequence += 1;
     mine.settled = shared.owner.borrow().as_ref().is_some_and(Owner::is_settled);
     let mut commit = Commit {
-        expect: vec![Expect { key: OWNER.to_owned(), version }],
-        put: vec![put(OWNER.to_owned(), &mine)],
+        expect: vec![Expect { key: OWNER_KEY.to_owned(), version }],
+        put: vec![put(OWNER_KEY.to_owned(), &mine)],
         delete: Vec::new(),
     };
     let now = quincewheel_clock::boot();
     let expired = shared.mirror.borrow_mut().expired(now, keep(shared), EXPIRED);
-    commit.delete.extend(expired.iter().flat_map(|id| rows::of_job(id)));
-    commit.put.extend(batch.times.as_ref().map(|times| put(TIMES.to_owned(), times)));
-    commit.put.extend(batch.saved.iter().map(|(id, saved)| put(rows::save(id), saved)));
-    let seen = batch.waves.iter().map(|(number, seen)| put(rows::wave(*number), seen));
+    commit.delete.extend(expired.iter().flat_map(|id| rows::job_keys(id)));
+    commit.put.extend(batch.times.as_ref().map(|times| put(TIMES_KEY.to_owned(), times)));
+    commit.put.extend(batch.saved.iter().map(|(id, saved)| put(rows::checkpoints_key(id), saved)));
+    let seen = batch.waves.iter().map(|(number, seen)| put(rows::wave_key(*number), seen));
     commit.put.extend(seen);
-    commit.delete.extend(batch.gone.iter().map(|name| rows::node(name)));
-    commit.put.extend(batch.jobs.iter().map(|(id, progress)| put(rows::run(id), progress)));
+    commit.delete.extend(batch.gone.iter().map(|name| rows::node_key(name)));
+    commit
+        .put
+        .extend(batch.jobs.iter().map(|(id, progress)| put(rows::progress_key(id), progress)));
     loop {
         let sent = quincewheel_clock::boot();
         let mut writing = pin!(shared.table.commit(&commit, TIMEOUT));
@@ -162,8 +164,8 @@
 }
 
 pub(crate) async fn read_owner(shared: &Site) -> Result<(Ownership, u64), Error> {
-    let read = Read { prefix: OWNER.to_owned(), after: String::new(), limit: 1 };
-    let (page, _) = shared.table.read(Space::Own, rows::part(OWNER), &read, TIMEOUT).await?;
+    let read = Read { prefix: OWNER_KEY.to_owned(), after: String::new(), limit: 1 };
+    let (page, _) = shared.table.read(Space::Own, rows::part_of(OWNER_KEY), &read, TIMEOUT).await?;
     let row = page.rows.into_iter().next();
     let found = row.and_then(|row| {
         serde_json::from_str(&row.value).ok().map(|owner: Ownership| (owner, row.version))
--- a/crates/entry/src/site/stores.rs
+++ b/crates/entry/src/site/stores.rs
@@ -31,14 +31,14 @@
 
 /// The write that stores a job, once.
 pub(crate) fn job_row(id: &str, job: &Job) -> Commit {
-    let row = put(rows::job(id), job);
+    let row = put(rows::job_key(id), job);
     let expect = vec![Expect { key: row.key.clone(), version: 0 }];
     Commit { expect, put: vec![row], delete: Vec::new() }
 }
 
 /// The write that cancels a job.
 pub(crate) fn cancel_row(id: &str) -> Commit {
-    let row = Put { key: rows::stop(id), value: "{}".to_owned() };
+    let row = Put { key: rows::cancellation_key(id), value: "{}".to_owned() };
     Commit { put: vec![row], ..Commit::default() }
 }
 
