--- a/crates/dispatch/src/clearance.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -133,8 +133,8 @@
             return;
         }
         let (job, (occurrence, step)) = (candidate.id.clone(), place);
-        let question = ClearanceRequest { job, occurrence, step, workers };
+        let request = ClearanceRequest { job, occurrence, step, workers };
         self.asking = true;
-        self.outputs.push(Output::Ask { question });
+        self.outputs.push(Output::RequestClearance { request });
     }
 }
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -60,7 +60,7 @@
         }
         self.listing.pause = if news { FIRST } else { (self.listing.pause * 2).min(LONGEST) };
         self.listing.asked = now;
-        self.outputs.push(Output::List);
+        self.outputs.push(Output::ListMachines);
     }
 
     /// Since when the last of the workers has been missed that matters; none if
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -141,7 +141,7 @@
             done,
         };
         self.upkeep.waves.entry(wave.number).or_insert(course);
-        self.outputs.push(Output::Wave { number: wave.number, done });
+        self.outputs.push(Output::WaveStatus { number: wave.number, done });
     }
 
     /// True if the wave is known.
@@ -206,7 +206,7 @@
         }
         if now >= self.upkeep.asked + LIST {
             self.upkeep.asked = now;
-            self.outputs.push(Output::List);
+            self.outputs.push(Output::ListMachines);
         }
         if self.upkeep.listed.is_none() {
             return;
@@ -263,7 +263,7 @@
             course.done = true;
             course.recorded = false;
             self.log("wave", &number.to_string(), "all machines have begun".to_owned());
-            self.outputs.push(Output::Wave { number, done: true });
+            self.outputs.push(Output::WaveStatus { number, done: true });
         }
     }
 
@@ -274,7 +274,7 @@
             if now >= *called + REPEAT {
                 *called = now;
                 let machine = machine.clone();
-                self.outputs.push(Output::Take { wave: number, machine });
+                self.outputs.push(Output::TakeDown { wave: number, machine });
             }
         }
     }
@@ -318,7 +318,7 @@
             if let Some(agent) = self.agents.get_mut(&agent) {
                 agent.doomed = true;
             }
-            self.outputs.push(Output::Take { wave: number, machine });
+            self.outputs.push(Output::TakeDown { wave: number, machine });
         }
         next
     }
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -50,15 +50,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum RowEvent {
     /// A job was accepted.
-    Job(Id),
+    JobAccepted(Id),
     /// A job was cancelled.
-    Cancelled(Id),
+    JobCancelled(Id),
     /// A process announced itself, for the first time or again.
-    Node(String),
+    NodeAnnounced(String),
     /// A process's row was dropped.
-    Unlisted(String),
+    NodeRemoved(String),
     /// The ownership row changed.
-    Owner,
+    OwnerChanged,
     /// A row does not hold what its key says.
     Malformed {
         /// The key.
@@ -135,7 +135,7 @@
         let (kind, name) = change.key.split_once('/')?;
         let Some(value) = &change.value else {
             self.drop(kind, name);
-            return (kind == "node").then(|| RowEvent::Unlisted(name.to_owned()));
+            return (kind == "node").then(|| RowEvent::NodeRemoved(name.to_owned()));
         };
         let read = match kind {
             "job" => return Some(self.read_job(name, value, change)),
@@ -157,7 +157,7 @@
             }),
             "stop" => serde_json::from_str(value).map(|IgnoredAny| {
                 self.jobs.entry(name.to_owned()).or_default().cancelled = true;
-                Some(RowEvent::Cancelled(name.to_owned()))
+                Some(RowEvent::JobCancelled(name.to_owned()))
             }),
             "node" => return Some(self.read_node(name, value, change)),
             _ => Ok(None),
@@ -216,7 +216,7 @@
             Ok(job) => {
                 let view = self.jobs.entry(name.to_owned()).or_default();
                 view.job = Some((job, change.version));
-                RowEvent::Job(name.to_owned())
+                RowEvent::JobAccepted(name.to_owned())
             }
         }
     }
@@ -232,7 +232,7 @@
             }
             Ok(node) => {
                 self.nodes.insert(name.to_owned(), node);
-                RowEvent::Node(name.to_owned())
+                RowEvent::NodeAnnounced(name.to_owned())
             }
         }
     }
@@ -248,7 +248,7 @@
                     self.last = Some(owner.holder.clone());
                 }
                 self.owner = Some((owner, change.version));
-                Some(RowEvent::Owner)
+                Some(RowEvent::OwnerChanged)
             }
             Err(error) => {
                 // A claim must name the version that it replaces, or nobody could own
--- a/crates/dispatch/src/output.rs
+++ b/crates/dispatch/src/output.rs
@@ -14,21 +14,21 @@
     },
     /// Ask which workers may run a step, and hand the answer to
     /// [`crate::Owner::advised`].
-    Ask {
+    RequestClearance {
         /// What is asked.
-        question: ClearanceRequest,
+        request: ClearanceRequest,
     },
     /// List all machines.
-    List,
+    ListMachines,
     /// Take a machine down for a wave of maintenance.
-    Take {
+    TakeDown {
         /// The wave.
         wave: u64,
         /// The machine.
         machine: String,
     },
     /// Tell operators how a wave goes.
-    Wave {
+    WaveStatus {
         /// The wave.
         number: u64,
         /// All machines that are still there have begun.
--- a/crates/dispatch/tests/bed/mod.rs
+++ b/crates/dispatch/tests/bed/mod.rs
@@ -93,17 +93,17 @@
             match output {
                 Output::Send { order: Order::Grant { .. } | Order::Claim { .. }, .. } => {}
                 Output::Send { link, order } => self.lines.push(line(link, &order)),
-                Output::Ask { question } => {
-                    let workers = question.workers.iter().map(ToString::to_string);
+                Output::RequestClearance { request } => {
+                    let workers = request.workers.iter().map(ToString::to_string);
                     let workers: Vec<String> = workers.collect();
                     self.lines.push(format!("ask {}", workers.join(" ")));
-                    self.questions.push(question);
+                    self.questions.push(request);
                 }
-                Output::List => self.lines.push("list".to_owned()),
-                Output::Take { wave, machine } => {
+                Output::ListMachines => self.lines.push("list".to_owned()),
+                Output::TakeDown { wave, machine } => {
                     self.lines.push(format!("take {machine} for {wave}"));
                 }
-                Output::Wave { number, done } => {
+                Output::WaveStatus { number, done } => {
                     self.lines.push(format!("wave {number} done {done}"));
                 }
                 Output::Close { link } => self.lines.push(format!("close {link}")),
--- a/crates/dispatch/tests/mirror.rs
+++ b/crates/dispatch/tests/mirror.rs
@@ -62,7 +62,7 @@
     let first = mirror.apply(&put(rows::node_key("e1"), 2, &node));
     let again = mirror.apply(&put(rows::node_key("e1"), 3, &node));
     // Told again, too: a process that announces itself anew wants to be dialled.
-    let news = || Some(RowEvent::Node("e1".into()));
+    let news = || Some(RowEvent::NodeAnnounced("e1".into()));
     assert_eq!((first, again), (news(), news()));
 }
 
@@ -108,8 +108,8 @@
     let value = Some(r#"{"address":"10.0.0.1:1"}"#.to_owned());
     let there = mirror.apply(&Change { key: "node/w0".into(), version: 1, value });
     let gone = mirror.apply(&Change { key: "node/w0".into(), version: 2, value: None });
-    assert_eq!(there, Some(RowEvent::Node("w0".into())));
-    assert_eq!(gone, Some(RowEvent::Unlisted("w0".into())));
+    assert_eq!(there, Some(RowEvent::NodeAnnounced("w0".into())));
+    assert_eq!(gone, Some(RowEvent::NodeRemoved("w0".into())));
 }
 
 // Symptom: nobody can own the deployment, or a new owner waits a lease for an agent that
--- a/crates/dispatch/tests/pool/mod.rs
+++ b/crates/dispatch/tests/pool/mod.rs
@@ -165,7 +165,7 @@
                         fresh.push((link, task, run));
                     }
                 }
-                Output::List => self.list(),
+                Output::ListMachines => self.list(),
                 Output::Log { event: "crash suspected", detail, .. } => self.suspected.push(detail),
                 _ => {}
             }
--- a/crates/entry/src/site/follow.rs
+++ b/crates/entry/src/site/follow.rs
@@ -193,16 +193,16 @@
 }
 
 /// Tells the owner, if this entry is it.
-fn tell_owner(shared: &Site, news: RowEvent, now: u64) {
-    if news == RowEvent::Owner {
+fn tell_owner(shared: &Site, event: RowEvent, now: u64) {
+    if event == RowEvent::OwnerChanged {
         return own::check_deposed(shared);
     }
     let mirror = shared.mirror.borrow();
     let mut owner = shared.owner.borrow_mut();
-    match news {
+    match event {
         RowEvent::Malformed { key, detail } => unreadable(shared, &key, &detail),
-        RowEvent::Owner => unreachable!("handled above, without the owner borrowed"),
-        RowEvent::Node(name) => {
+        RowEvent::OwnerChanged => unreachable!("handled above, without the owner borrowed"),
+        RowEvent::NodeAnnounced(name) => {
             let node = mirror.nodes.get(&name);
             if let Some(node) = node {
                 shared.dials.borrow_mut().forget(&node.address);
@@ -212,17 +212,17 @@
                 owner.agent(&name, now);
             }
         }
-        RowEvent::Unlisted(name) => {
+        RowEvent::NodeRemoved(name) => {
             if let Some(owner) = owner.as_mut() {
                 owner.unlisted(&name);
             }
         }
-        RowEvent::Cancelled(id) => {
+        RowEvent::JobCancelled(id) => {
             if let Some(owner) = owner.as_mut() {
                 owner.cancel(&id, now);
             }
         }
-        RowEvent::Job(id) => {
+        RowEvent::JobAccepted(id) => {
             if let Some(owner) = owner.as_mut() {
                 tell_job(owner, &mirror, &id, now);
             }
--- a/crates/entry/src/site/own.rs
+++ b/crates/entry/src/site/own.rs
@@ -246,13 +246,13 @@
                     shared.hub.ask(Command::Close { link, reason: "too many orders wait" });
                 }
             }
-            Output::Ask { question } => {
-                *shared.question.borrow_mut() = Some(question);
+            Output::RequestClearance { request } => {
+                *shared.question.borrow_mut() = Some(request);
                 shared.asked.notify_one();
             }
-            Output::List => wish(shared, Wish::List),
-            Output::Take { wave, machine } => wish(shared, Wish::Take { wave, machine }),
-            Output::Wave { number, done } => wish(shared, Wish::Tell { number, done }),
+            Output::ListMachines => wish(shared, Wish::List),
+            Output::TakeDown { wave, machine } => wish(shared, Wish::Take { wave, machine }),
+            Output::WaveStatus { number, done } => wish(shared, Wish::Tell { number, done }),
             Output::Close { link } => {
                 shared.hub.ask(Command::Close { link, reason: "silent or replaced" });
             }
