--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -78,8 +78,8 @@
     /// answered within a `lease`. An agent that lives does not make a member of a
     /// worker that is gone: each later owner would wait for it.
     pub fn look(&mut self, settings: &Settings, now: u64) {
-        let lease = settings.lease + settings.margin;
-        let answers = self.link.is_some() && self.fenced && self.silent < settings.overdue;
+        let lease = settings.lease + settings.lease_margin;
+        let answers = self.link.is_some() && self.fenced && self.silent < settings.answer_overdue;
         match answers || self.worker.is_none() {
             true => self.missed = None,
             false => {
@@ -117,7 +117,7 @@
     /// start with less than a fourth of one, and an owner that granted none but went
     /// on ordering would be refused hundreds of times a second.
     pub fn leased(&self, settings: &Settings, now: u64) -> bool {
-        now + settings.lease / 4 + settings.margin < self.lapse
+        now + settings.lease / 4 + settings.lease_margin < self.lapse
     }
 
     /// True if runs may start there.
--- a/crates/dispatch/src/board.rs
+++ b/crates/dispatch/src/board.rs
@@ -112,7 +112,7 @@
                 stopping: Need::default(),
                 ending: Need::default(),
                 doubtful: agent.doubted.max(agent.warm) > now
-                    || agent.silent > self.settings.mute / 2,
+                    || agent.silent > self.settings.unresponsive_after / 2,
                 holders: Vec::new(),
             });
         }
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -107,7 +107,7 @@
         }
         let ran = self.since.saturating_sub(self.began);
         let left = ran * u64::from(100 - self.percent.min(100)) / u64::from(self.percent);
-        self.since + left <= now + settings.stop + settings.ending
+        self.since + left <= now + settings.stop_timeout + settings.completion_grace
     }
 }
 
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -79,7 +79,7 @@
 
     /// True if operators may have evacuated any zone unheard. Told when it begins and ends.
     pub(crate) fn is_deaf(&mut self, now: u64) -> bool {
-        let Some(bound) = self.settings.evacuation else { return false };
+        let Some(bound) = self.settings.evacuation_deadline else { return false };
         let silent = now.saturating_sub(self.evacuated.heard);
         let deaf = silent + AHEAD.min(bound / 3) > bound;
         if deaf != self.evacuated.deaf {
--- a/crates/dispatch/src/lack.rs
+++ b/crates/dispatch/src/lack.rs
@@ -31,7 +31,7 @@
             (agent.cordoned || agent.doomed, Lack::Maintenance),
             (agent.evacuated, Lack::Evacuated),
             (draining, Lack::Draining),
-            (agent.silent >= settings.mute, Lack::Silent),
+            (agent.silent >= settings.unresponsive_after, Lack::Silent),
             (!agent.leased(settings, now), Lack::Lease),
         ];
         lacks.into_iter().find(|(holds, _)| *holds).map(|(_, lack)| lack)
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -46,7 +46,7 @@
     /// Asks for a list if something runs at a worker that may be gone, or if older jobs
     /// wait for members that are not heard.
     pub(crate) fn ask_for_list(&mut self, now: u64) {
-        if !self.settings.listed || now < self.listing.next {
+        if !self.settings.lists_machines || now < self.listing.next {
             return;
         }
         self.listing.next = now + PAUSE;
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -197,7 +197,7 @@
     /// Carries the waves on.
     pub(crate) fn maintain(&mut self, now: u64, wall: u64) {
         // Holders of a machine's fencing token take turns no faster than this.
-        if now < self.claimed + self.settings.turn {
+        if now < self.claimed + self.settings.fencing_interval {
             return;
         }
         let open = self.open_waves();
@@ -288,7 +288,7 @@
         };
         let mut room = course.wave.most.saturating_sub(course.down(upkeep));
         let left: Vec<&Machine> = course.left(upkeep).collect();
-        let presses = course.presses(left.len(), self.settings.maintenance, wall);
+        let presses = course.presses(left.len(), self.settings.maintenance_duration, wall);
         let mut turns: Vec<(u64, String, String)> = left
             .into_iter()
             .filter(|machine| machine.condition == Condition::Up)
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -14,7 +14,7 @@
         let lapse = match now.saturating_sub(self.claimed) {
             // Known since the takeover: the former owner may have granted a
             // lease up to the moment at which it was replaced.
-            0..=1000 => self.claimed + self.settings.lease + self.settings.margin,
+            0..=1000 => self.claimed + self.settings.lease + self.settings.lease_margin,
             _ => 0,
         };
         let former = lapse > 0;
@@ -69,18 +69,18 @@
     /// agent's word, which lives beside a dead worker for as long as it has for shutting
     /// down, what ran there was held for a lease longer: 19 s instead of 10.
     pub(crate) fn grant(&mut self, name: &str, link: LinkId, stamp: u64, silent: u64, now: u64) {
-        let bound = self.settings.fresh;
+        let bound = self.settings.quorum_window;
         let heard = |agent: &&Agent| agent.link.is_some() && now <= agent.told + bound;
         let most = self.agents.values().filter(heard).count() * 2 > self.agents.len();
         let unconfirmed = now.saturating_sub(self.confirmed);
-        if unconfirmed > self.settings.autonomy
-            || (unconfirmed > self.settings.unconfirmed && !most)
+        if unconfirmed > self.settings.grants_stop_after
+            || (unconfirmed > self.settings.quorum_after && !most)
         {
             return;
         }
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let age = if silent >= self.settings.overdue { silent } else { 0 };
-        let lapse = (now + self.settings.lease + self.settings.margin).saturating_sub(age);
+        let age = if silent >= self.settings.answer_overdue { silent } else { 0 };
+        let lapse = (now + self.settings.lease + self.settings.lease_margin).saturating_sub(age);
         self.replan |= !agent.leased(&self.settings, now);
         agent.lapse = agent.lapse.max(lapse);
         self.send(link, Order::Grant { stamp: stamp.saturating_sub(age) });
@@ -90,7 +90,7 @@
     /// takes work again, though nothing else has changed.
     pub(crate) fn hear(&mut self, name: &str, silent: u64) {
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let mute = self.settings.mute;
+        let mute = self.settings.unresponsive_after;
         self.replan |= agent.silent >= mute && silent < mute;
         agent.silent = silent;
     }
@@ -99,7 +99,7 @@
     /// stay open without carrying anything while a new one would; only the
     /// missing pings show it.
     pub(crate) fn close_silent(&mut self, now: u64) {
-        let bound = self.settings.silence;
+        let bound = self.settings.connection_timeout;
         let silent = self.agents.values().filter(|agent| now > agent.told + bound);
         let links: Vec<LinkId> = silent.filter_map(|agent| agent.link).collect();
         for link in links {
@@ -110,7 +110,7 @@
 
     /// Takes runs for gone whose leases have lapsed without a word.
     pub(crate) fn lapse(&mut self, now: u64) {
-        let bound = self.settings.lease + self.settings.margin;
+        let bound = self.settings.lease + self.settings.lease_margin;
         let mut lost = Vec::new();
         for (name, agent) in &self.agents {
             let unlinked = agent.link.is_none() && now >= agent.lapse;
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/pace.rs
@@ -27,7 +27,7 @@
             return;
         }
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.doubted = agent.doubted.max(now + self.settings.doubt);
+            agent.doubted = agent.doubted.max(now + self.settings.failure_cooldown);
         }
         for (id, key) in found {
             self.log("run moved", &id, format!("{key:?} at {name} stands still"));
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -129,15 +129,15 @@
     /// that holds.
     pub(crate) fn former_grants(&self) -> (u64, u64) {
         let last = match self.followed {
-            None => self.claimed + self.settings.autonomy,
+            None => self.claimed + self.settings.grants_stop_after,
             Some(_) if self.former_gone => self.claimed,
             // It grants to all until the table has not confirmed it for a while, and then
             // for as long as it takes to miss the agents that follow this owner now.
             Some(since) => {
-                (since + self.settings.fresh).max(self.claimed + self.settings.unconfirmed)
+                (since + self.settings.quorum_window).max(self.claimed + self.settings.quorum_after)
             }
         };
-        (last, self.settings.lease + self.settings.margin)
+        (last, self.settings.lease + self.settings.lease_margin)
     }
 
     /// Agents whose workers may still run what a former owner started.
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -55,7 +55,7 @@
     /// Checkpoints that are to be recorded: one record a job in a while, along
     /// with what is written anyway.
     fn unsaved(&mut self) -> Vec<(Id, Checkpoints)> {
-        let (now, keep) = (self.now, self.settings.keep);
+        let (now, keep) = (self.now, self.settings.checkpoint_interval);
         let due = |entry: &&mut Entry| entry.unsaved && now >= entry.kept + keep;
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter_mut() {
@@ -75,7 +75,8 @@
     /// this it would wait a whole lease for each machine that was ever taken
     /// away: 6 s in which work stood still after every change of owner.
     fn gone(&self) -> Vec<String> {
-        let bound = self.settings.lease + self.settings.margin + self.settings.absence;
+        let bound =
+            self.settings.lease + self.settings.lease_margin + self.settings.absence_timeout;
         let gone = |agent: &Agent| {
             let absent = agent.absent.is_some_and(|since| self.now >= since + bound);
             self.settled && (agent.left || absent)
--- a/crates/dispatch/src/refusals.rs
+++ b/crates/dispatch/src/refusals.rs
@@ -30,7 +30,7 @@
     /// room than is believed, or is unhealthy. Asked again at once, it would refuse
     /// hundreds of times a second where no other worker suits the task.
     pub(crate) fn refused(&mut self, name: &str, now: u64) {
-        let last = now + self.settings.doubt / 10;
+        let last = now + self.settings.failure_cooldown / 10;
         if let Some(agent) = self.agents.get_mut(name) {
             agent.doubted = agent.doubted.max(last);
             agent.refusals.note(now);
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -236,7 +236,7 @@
         if let Some(agent) = self.agents.get_mut(name) {
             agent.strays.push(task.clone());
         }
-        let bound = self.settings.reservation;
+        let bound = self.settings.reservation_ttl;
         self.strays.retain(|_, since| now < *since + bound);
         if self.strays.contains_key(&(task.clone(), run)) {
             return;
@@ -248,7 +248,7 @@
 
     /// Runs that the worker should list and does not.
     fn missing(&mut self, name: &str, running: &[Run], now: u64) {
-        let bound = self.settings.missing;
+        let bound = self.settings.missing_timeout;
         let Some(agent) = self.agents.get_mut(name) else { return };
         // All runs are gone through for it, and a report comes with each end.
         if now < agent.checked + bound / 10 {
@@ -367,7 +367,7 @@
 
     /// A task failed.
     fn failed(&mut self, name: &str, task: &Task, run: u64, now: u64) {
-        let doubt = self.settings.doubt;
+        let doubt = self.settings.failure_cooldown;
         if let Some(agent) = self.agents.get_mut(name) {
             agent.failures += 1;
             agent.doubted = now + doubt * u64::from(agent.failures.min(3));
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -36,7 +36,7 @@
             let key = (candidate.occurrence, candidate.step, 0);
             entry.job.queue.advice.is_none() || entry.ticket(key, worker, now).is_some()
         };
-        let until = reservation.since + self.settings.reservation;
+        let until = reservation.since + self.settings.reservation_ttl;
         // A worker that is left alone for a moment after a refusal keeps its promise; taken
         // for void, work at another one would be stopped as well.
         let paused =
@@ -99,13 +99,13 @@
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let held = held(entry, (candidate.occurrence, candidate.step), &board.spots);
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
-        let promised = promised(begin, self.settings.reclaim, self.settings.stop);
+        let promised = promised(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
         let guaranteed = candidate.guaranteed();
         let due = guaranteed && wall >= promised;
         let count = rest.len() as u32;
         let over = if due { Hold::Borrowed } else { Hold::Lower };
         let ask = Ask { step, pool, count, patient: true, over, sure: guaranteed, held: &held };
-        let last = last_call(begin, self.settings.reclaim, self.settings.stop);
+        let last = last_call(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
         let claim = reclaim(&board.spots, &ask).or_else(|| {
             let others = Ask { over: Hold::Guaranteed, sure: false, ..ask };
             let pressing = due && wall >= last && !entry.begun;
@@ -137,7 +137,7 @@
         }
         let agents = claim.choices.iter().map(|&place| board.spots[place].name.clone()).collect();
         let reservation = Reservation { agents, since: now };
-        self.keep_until(now + self.settings.reservation);
+        self.keep_until(now + self.settings.reservation_ttl);
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
             entry.reserved.insert((candidate.occurrence, candidate.step), reservation);
         }
--- a/crates/dispatch/src/unlisted.rs
+++ b/crates/dispatch/src/unlisted.rs
@@ -25,7 +25,7 @@
             return;
         }
         self.sought = now;
-        for (id, key) in self.not_listed_for(now, self.settings.missing) {
+        for (id, key) in self.not_listed_for(now, self.settings.missing_timeout) {
             self.log("run missing", &id, format!("{key:?} is not listed, and is stopped"));
             self.stop(&id, key, now);
         }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -134,7 +134,7 @@
 #[test]
 fn an_owner_that_has_not_heard_of_operators_for_long_starts_nothing() {
     let mut bed = open(2);
-    let settings = Settings { evacuation: Some(5000), ..Settings::default() };
+    let settings = Settings { evacuation_deadline: Some(5000), ..Settings::default() };
     bed.owner.tune(settings);
     bed.owner.evacuate(&zones(&[]), bed.now);
     bed.live(3600, 2);
--- a/crates/dispatch/tests/lives.rs
+++ b/crates/dispatch/tests/lives.rs
@@ -11,7 +11,7 @@
 /// An owner on a platform that lists machines, with a job that runs at the first worker.
 fn running() -> Bed {
     let mut bed = Bed::open(1, 2);
-    bed.owner.tune(Settings { listed: true, ..Settings::default() });
+    bed.owner.tune(Settings { lists_machines: true, ..Settings::default() });
     let mut bed = bed.idle(2);
     bed.step();
     bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
@@ -24,7 +24,7 @@
 /// A new owner that two of three agents follow, and a job of the former owner's time.
 fn taken_over() -> Bed {
     let mut bed = Bed::open(2, 3);
-    bed.owner.tune(Settings { listed: true, ..Settings::default() });
+    bed.owner.tune(Settings { lists_machines: true, ..Settings::default() });
     bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
     for number in 0..2 {
         bed.link(number);
@@ -215,7 +215,7 @@
 #[test]
 fn of_two_runs_of_a_task_the_later_one_is_adopted() {
     let mut bed = Bed::open(2, 3);
-    bed.owner.tune(Settings { listed: true, ..Settings::default() });
+    bed.owner.tune(Settings { lists_machines: true, ..Settings::default() });
     bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
     for number in 0..3 {
         bed.link(number);
--- a/crates/dispatch/tests/pool/mod.rs
+++ b/crates/dispatch/tests/pool/mod.rs
@@ -40,7 +40,7 @@
 
 /// Bounds on a platform that lists machines.
 static SETTINGS: LazyLock<Settings> =
-    LazyLock::new(|| Settings { listed: true, ..Settings::default() });
+    LazyLock::new(|| Settings { lists_machines: true, ..Settings::default() });
 
 /// How long a worker that crashed is away, in milliseconds.
 const AWAY: u64 = 3000;
--- a/crates/dispatch/tests/room.rs
+++ b/crates/dispatch/tests/room.rs
@@ -246,7 +246,7 @@
     bed.told();
     bed.owner.job("waits", urgent(vec![step(1, 8)], bed.now), 200, None);
     let mut told = String::new();
-    for _ in 0..Settings::default().reclaim / 100 {
+    for _ in 0..Settings::default().reclaim_deadline / 100 {
         bed.live(100, 2);
         let lines = bed.told();
         for at in (0..2).filter(|at| lines.contains(&format!("w{at} stop"))) {
--- a/crates/entry/src/site/own.rs
+++ b/crates/entry/src/site/own.rs
@@ -182,12 +182,12 @@
     let bounds = shared.bounds.get();
     Settings {
         lease: bounds.lease,
-        stop: bounds.stop,
-        evacuation: bounds.evacuation,
-        reclaim: bounds.reclaim,
-        turn: bounds.turn,
-        maintenance: bounds.maintenance,
-        listed: shared.settings.machines.is_some(),
+        stop_timeout: bounds.stop,
+        evacuation_deadline: bounds.evacuation,
+        reclaim_deadline: bounds.reclaim,
+        fencing_interval: bounds.turn,
+        maintenance_duration: bounds.maintenance,
+        lists_machines: shared.settings.machines.is_some(),
         ..Settings::default()
     }
 }
--- a/crates/runner/tests/world/mod.rs
+++ b/crates/runner/tests/world/mod.rs
@@ -315,7 +315,7 @@
 
 /// The owner's bounds, where availability zones are evacuated.
 fn bounds() -> Bounds {
-    Bounds { evacuation: Some(5000), ..Bounds::default() }
+    Bounds { evacuation_deadline: Some(5000), ..Bounds::default() }
 }
 
 fn worker(number: usize, lives: usize) -> Worker {
