--- a/crates/dispatch/src/batch.rs
+++ b/crates/dispatch/src/batch.rs
@@ -10,13 +10,13 @@
     /// Jobs whose progress changed.
     pub jobs: Vec<(Id, Progress)>,
     /// What workers may forget once the batch is recorded.
-    pub seen: Vec<AcknowledgedEnds>,
+    pub acknowledged: Vec<AcknowledgedEnds>,
     /// Waves of maintenance that are new, or through.
     pub waves: Vec<(u64, rows::WaveRecord)>,
     /// Agents that are no members any more.
-    pub gone: Vec<String>,
+    pub departed: Vec<String>,
     /// Checkpoints of jobs whose tasks saved more.
-    pub saved: Vec<(Id, Checkpoints)>,
+    pub checkpoints: Vec<(Id, Checkpoints)>,
     /// Run times, if more were learned since the last batch.
     pub times: Option<Times>,
 }
--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -8,15 +8,15 @@
 use crate::board::Board;
 use crate::candidate::Candidate;
 use crate::owner::Owner;
-use crate::reports::key;
+use crate::reports::task_key;
 
 impl Owner {
     /// Takes note of a failure at an agent's worker.
-    pub(crate) fn blame(&mut self, name: &str, task: &Task, now: u64) {
+    pub(crate) fn record_failure(&mut self, name: &str, task: &Task, now: u64) {
         if let Some(entry) = self.jobs.get_mut(&task.job)
             && let Some(worker) = self.agents.get(name).and_then(|agent| agent.worker.as_ref())
         {
-            let slot = entry.key(key(task));
+            let slot = entry.key(task_key(task));
             let until = now + AVOIDED;
             entry.avoided.entry(slot).or_default().insert(worker.incarnation(), until);
             self.avoiding = Some(self.avoiding.map_or(until, |at| at.min(until)));
@@ -31,7 +31,7 @@
     }
 
     /// Opens workers whose time is over, and lets tasks return to workers.
-    pub(crate) fn reopen(&mut self, now: u64) {
+    pub(crate) fn reopen_workers(&mut self, now: u64) {
         if self.avoiding.take_if(|at| *at <= now).is_some() {
             self.replan = true;
             self.avoiding = self.next_return(now);
@@ -51,7 +51,12 @@
     }
 
     /// The places of workers at which tasks of the candidate have failed.
-    pub(crate) fn avoided(&self, candidate: &Candidate, board: &Board, now: u64) -> Vec<usize> {
+    pub(crate) fn avoided_places(
+        &self,
+        candidate: &Candidate,
+        board: &Board,
+        now: u64,
+    ) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
         if entry.avoided.is_empty() {
             return Vec::new();
--- a/crates/dispatch/src/board.rs
+++ b/crates/dispatch/src/board.rs
@@ -9,7 +9,7 @@
 use crate::agent::Agent;
 use crate::entry::{Key, Phase};
 use crate::owner::Owner;
-use crate::reports::key;
+use crate::reports::task_key;
 use crate::suspects::RecentStart;
 use crate::tally::Bar;
 
@@ -128,7 +128,7 @@
                 let need = step.charge();
                 spots[place].free.take(&need);
                 if let Some(started) = RecentStart::of(id, entry, *key, placed, now) {
-                    started.note(&mut fresh, place);
+                    started.record(&mut fresh, place);
                 }
                 let hold = match entry.job.queue.priority {
                     0 if !borrowed.contains(&placed.unit) => Hold::Guaranteed,
@@ -161,7 +161,7 @@
     fn left_by_strays(&self, agent: &Agent, capacity: Need) -> Need {
         let mut left = capacity;
         for task in &agent.strays {
-            let step = self.jobs.get(&task.job).and_then(|entry| entry.step(key(task)));
+            let step = self.jobs.get(&task.job).and_then(|entry| entry.step(task_key(task)));
             let Some(step) = step else { return Need::default() };
             left.take(&step.charge());
         }
--- a/crates/dispatch/src/checkpoints.rs
+++ b/crates/dispatch/src/checkpoints.rs
@@ -21,13 +21,13 @@
 
 impl Checkpoints {
     /// A record of these checkpoints.
-    pub(crate) fn open<'a>(tasks: impl Iterator<Item = (&'a Key, &'a String)>) -> Checkpoints {
+    pub(crate) fn new<'a>(tasks: impl Iterator<Item = (&'a Key, &'a String)>) -> Checkpoints {
         let row = |(key, saved): (&Key, &String)| (key.0, key.1, key.2, saved.clone());
         Checkpoints { tasks: tasks.map(row).take(MOST).collect() }
     }
 
     /// The checkpoints by task.
-    pub(crate) fn tasks(&self) -> BTreeMap<Key, String> {
+    pub(crate) fn by_task(&self) -> BTreeMap<Key, String> {
         let row = |(occurrence, step, index, saved): &(u32, u32, u32, String)| {
             ((*occurrence, *step, *index), saved.clone())
         };
--- a/crates/dispatch/src/clearance.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -67,7 +67,7 @@
     }
 
     /// A worker refused the ticket.
-    pub fn refuse(&mut self, worker: &Incarnation) {
+    pub fn drop_ticket(&mut self, worker: &Incarnation) {
         self.tickets.remove(worker);
     }
 
@@ -93,7 +93,7 @@
 
 impl Owner {
     /// The service answered a question that was sent at `sent`, or did not.
-    pub fn advised(
+    pub fn on_clearance(
         &mut self,
         question: &ClearanceRequest,
         answer: Option<(&[(String, String)], u64)>,
@@ -120,7 +120,12 @@
 
     /// Asks where a step may run, one question at a time. `workers` have the
     /// most room first.
-    pub(crate) fn ask(&mut self, candidate: &Candidate, workers: Vec<Incarnation>, now: u64) {
+    pub(crate) fn request_clearance(
+        &mut self,
+        candidate: &Candidate,
+        workers: Vec<Incarnation>,
+        now: u64,
+    ) {
         if self.asking {
             return;
         }
--- a/crates/dispatch/src/dismissal.rs
+++ b/crates/dispatch/src/dismissal.rs
@@ -25,18 +25,18 @@
 
 impl Dismissal {
     /// True if the agent was dismissed and has not announced itself since.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.former.contains_key(name)
     }
 
     /// True if all that ran at a dismissed agent has lapsed.
-    pub fn lapsed(&self, name: &str, now: u64) -> bool {
+    pub fn has_lapsed(&self, name: &str, now: u64) -> bool {
         self.former.get(name).is_some_and(|former| now >= former.lapse)
     }
 
     /// What is known of an agent that announces itself again. Its worker gets nothing
     /// new on the strength of an old answer: the first ping tells how silent it is.
-    pub fn recall(&mut self, name: &str, agent: Agent) -> Agent {
+    pub fn readmit(&mut self, name: &str, agent: Agent) -> Agent {
         let Some(former) = self.former.remove(name) else { return agent };
         Agent { lapse: agent.lapse.max(former.lapse), silent: former.silent, ..agent }
     }
@@ -45,7 +45,7 @@
 impl Owner {
     /// The rows of these agents are about to be dropped. Nothing starts there while
     /// the write is under way, or a run would belong to no member once it is done.
-    pub(crate) fn begin_dismissal(&mut self, names: &[String], begun: bool) {
+    pub(crate) fn set_dropping(&mut self, names: &[String], begun: bool) {
         for name in names {
             if let Some(agent) = self.agents.get_mut(name) {
                 agent.dropping = begun;
@@ -56,18 +56,18 @@
 
     /// True if the agent was dismissed and has not announced itself since.
     pub fn is_dismissed(&self, name: &str) -> bool {
-        self.dismissal.holds(name)
+        self.dismissal.contains(name)
     }
 
     /// The table's feed tells that an agent's row was dropped. The agent may have
     /// announced itself just before that, and the feed told it just now.
-    pub fn unlisted(&mut self, name: &str) {
+    pub fn on_row_removed(&mut self, name: &str) {
         self.dismiss(name);
     }
 
     /// An agent's row is gone: it must announce itself before work goes there.
     pub(crate) fn dismiss(&mut self, name: &str) {
-        self.blame_crash(name);
+        self.attribute_crash(name);
         let Some(agent) = self.agents.remove(name) else { return };
         self.log("agent dismissed", name, "no connection or worker".to_owned());
         let former = Former { lapse: agent.lapse, silent: agent.silent };
--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -59,11 +59,11 @@
 /// An owner whose connection broke is replaced after so many milliseconds,
 /// if it neither connects again nor writes its row. An owner that lives dials
 /// again within 400 ms.
-pub(crate) const SOONEST: u64 = 700;
+pub(crate) const OWNER_TIMEOUT_MS: u64 = 700;
 
 impl Election {
     /// A candidate.
-    pub fn open(name: &str, incarnation: u64, patience: u64) -> Election {
+    pub fn new(name: &str, incarnation: u64, patience: u64) -> Election {
         Election {
             name: name.to_owned(),
             incarnation,
@@ -81,7 +81,7 @@
     /// Takes note of how many candidates come before this one. They wait a little
     /// longer one after the other, so that they seldom race, and so that the largest
     /// machine that lives owns.
-    pub fn stand(&mut self, place: usize) {
+    pub fn set_rank(&mut self, place: usize) {
         self.stagger = match place as u64 {
             0 => 0,
             place => (SECOND + (place - 1) * STEP).min(LONGEST),
@@ -89,34 +89,34 @@
     }
 
     /// The former owner asked this entry to step in; the row has this version now.
-    pub fn call(&mut self, version: u64) {
+    pub fn on_handover(&mut self, version: u64) {
         self.called = Some(version);
     }
 
     /// The table was heard, and nobody ever owned.
-    pub fn unowned(&mut self, now: u64) {
+    pub fn on_unowned(&mut self, now: u64) {
         self.unowned.get_or_insert(now);
     }
 
     /// The owner connected to this process.
-    pub fn found(&mut self) {
+    pub fn on_owner_connected(&mut self) {
         self.lost = None;
         self.word = None;
     }
 
     /// The owner said that it lives.
-    pub fn alive(&mut self, now: u64) {
+    pub fn on_owner_heartbeat(&mut self, now: u64) {
         self.word = Some(now);
     }
 
     /// The owner's connection to this process broke.
-    pub fn lost(&mut self, now: u64) {
+    pub fn on_owner_disconnected(&mut self, now: u64) {
         self.lost = Some(now);
         self.word = None;
     }
 
     /// Takes note of the row as the table has it now.
-    pub fn observe(&mut self, version: u64, now: u64) {
+    pub fn observe_row(&mut self, version: u64, now: u64) {
         if self.seen.is_none_or(|(known, _)| known < version) {
             self.seen = Some((version, now));
             // Whoever wrote it lives; another owner connects anew.
@@ -134,7 +134,7 @@
     /// One that is `draining` steps in only where nobody else takes what was
     /// handed over: where entries restart one after the other, all that are
     /// there may be about to end, and a short ownership is better than none.
-    pub fn due(
+    pub fn should_claim(
         &self,
         owner: Option<&(Ownership, u64)>,
         current: u64,
@@ -155,11 +155,11 @@
         let still = held.is_some_and(|(_, since)| current >= since + patience);
         // An owner whose connection breaks is dead, or else it connects again
         // or writes its row within this time.
-        let gone = self.lost.is_some_and(|since| now >= since + SOONEST + self.stagger);
+        let gone = self.lost.is_some_and(|since| now >= since + OWNER_TIMEOUT_MS + self.stagger);
         // One that lost its power or is cut off breaks no connection: it says nothing, and its
         // row stands still.
-        let silent = self.word.is_some_and(|at| now >= at + SOONEST + self.stagger)
-            && held.is_some_and(|(_, since)| current >= since + SOONEST + self.stagger);
+        let silent = self.word.is_some_and(|at| now >= at + OWNER_TIMEOUT_MS + self.stagger)
+            && held.is_some_and(|(_, since)| current >= since + OWNER_TIMEOUT_MS + self.stagger);
         // The former incarnation of this very process cannot act any more.
         let waited = held.is_some_and(|(_, since)| now >= since + self.stagger);
         let mine_next = self.stagger == 0 || waited || self.called == Some(*version);
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -146,7 +146,7 @@
     /// The checkpoints that are worth a record: those of tasks not yet done.
     pub fn checkpoints(&self, id: &str) -> Checkpoints {
         let open = self.saved.iter().filter(|(key, _)| !self.progress.done(&task(id, **key)));
-        Checkpoints::open(open)
+        Checkpoints::new(open)
     }
 
     /// The key under which a task's numbers, checkpoint and failures are kept.
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -54,7 +54,7 @@
 impl Owner {
     /// Operators evacuate these availability zones, and no others, by a call that was sent at
     /// `heard`.
-    pub fn evacuate(&mut self, zones: &Evacuation, heard: u64) {
+    pub fn set_evacuation(&mut self, zones: &Evacuation, heard: u64) {
         self.evacuated.heard = self.evacuated.heard.max(heard);
         if self.evacuated.zones == *zones {
             return;
@@ -72,13 +72,13 @@
             self.log("evacuation over", zone, "its workers take work again".to_owned());
         }
         for link in self.links() {
-            self.tell_evacuation(link);
+            self.send_evacuation(link);
         }
         self.replan = true;
     }
 
     /// True if operators may have evacuated any zone unheard. Told when it begins and ends.
-    pub(crate) fn is_deaf(&mut self, now: u64) -> bool {
+    pub(crate) fn operators_unreachable(&mut self, now: u64) -> bool {
         let Some(bound) = self.settings.evacuation_deadline else { return false };
         let silent = now.saturating_sub(self.evacuated.heard);
         let deaf = silent + AHEAD.min(bound / 3) > bound;
@@ -93,13 +93,13 @@
     }
 
     /// How many availability zones are evacuated, and how many of them may not be empty yet.
-    pub fn evacuated(&self) -> (usize, usize) {
+    pub fn evacuation_counts(&self) -> (usize, usize) {
         let zones = self.evacuated.zones.zones().count();
         (zones, zones - self.evacuated.empty.len())
     }
 
     /// Tells an agent of evacuations, unless there never was one: then it knows of none.
-    pub(crate) fn tell_evacuation(&mut self, link: LinkId) {
+    pub(crate) fn send_evacuation(&mut self, link: LinkId) {
         if self.evacuated.ever {
             let zones = self.evacuated.zones.clone();
             self.send(link, Order::Evacuate { zones });
@@ -107,7 +107,7 @@
     }
 
     /// Tells once of each evacuated zone that nothing runs there any more: it may be switched off.
-    pub(crate) fn look_at_evacuated(&mut self, now: u64) {
+    pub(crate) fn check_evacuated_zones(&mut self, now: u64) {
         if self.evacuated.zones.is_empty() || now < self.evacuated.looked + LOOK {
             return;
         }
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -45,7 +45,7 @@
 impl Owner {
     /// Asks for a list if something runs at a worker that may be gone, or if older jobs
     /// wait for members that are not heard.
-    pub(crate) fn ask_for_list(&mut self, now: u64) {
+    pub(crate) fn poll_machines(&mut self, now: u64) {
         if !self.settings.lists_machines || now < self.listing.next {
             return;
         }
@@ -86,7 +86,7 @@
     /// A list of several pages is not made at one moment: a machine that is taken away
     /// between two of them may move another one out of both. So a worker must be missing
     /// from two such lists. A list without any machine tells nothing.
-    pub(crate) fn take_list(&mut self, machines: &[Machine], pages: usize, sent: u64) {
+    pub(crate) fn on_machine_list(&mut self, machines: &[Machine], pages: usize, sent: u64) {
         if machines.is_empty() {
             return;
         }
@@ -102,8 +102,8 @@
             .collect();
         for (name, worker) in over {
             self.log("worker gone", &name, format!("{worker} is not listed any more"));
-            self.blame_crash(&name);
-            self.over(&name, &worker, "is gone");
+            self.attribute_crash(&name);
+            self.end_incarnation(&name, &worker, "is gone");
             self.replan = true;
         }
         if pages == 1 {
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -130,7 +130,7 @@
 
 impl Owner {
     /// A wave is to be carried out. `known` is what a former owner knew of it.
-    pub fn wave(&mut self, wave: &Wave, known: Option<WaveRecord>, wall: u64) {
+    pub fn add_wave(&mut self, wave: &Wave, known: Option<WaveRecord>, wall: u64) {
         let done = known.is_some_and(|known| known.done);
         let course = WaveState {
             wave: wave.clone(),
@@ -154,10 +154,10 @@
     ///
     /// A machine whose entry cannot be read is still there, and stays as it was known:
     /// taken for gone, its wave would be told as through before its turn.
-    pub fn machines(&mut self, machines: Vec<Machine>, whole: bool, pages: usize, sent: u64) {
+    pub fn on_machines(&mut self, machines: Vec<Machine>, whole: bool, pages: usize, sent: u64) {
         if whole {
             self.upkeep.machines.clear();
-            self.take_list(&machines, pages, sent);
+            self.on_machine_list(&machines, pages, sent);
         }
         let by_name = machines.into_iter().map(|machine| (machine.name.clone(), machine));
         self.upkeep.machines.extend(by_name);
@@ -169,7 +169,7 @@
     }
 
     /// The platform answered the call to take a machine down, or did not.
-    pub fn taken(&mut self, number: u64, machine: &str, taken: TakeDownResult, now: u64) {
+    pub fn on_take_down(&mut self, number: u64, machine: &str, taken: TakeDownResult, now: u64) {
         let Some(course) = self.upkeep.waves.get_mut(&number) else { return };
         match taken {
             TakeDownResult::Begun => {
@@ -195,7 +195,7 @@
     }
 
     /// Carries the waves on.
-    pub(crate) fn maintain(&mut self, now: u64, wall: u64) {
+    pub(crate) fn advance_waves(&mut self, now: u64, wall: u64) {
         // Holders of a machine's fencing token take turns no faster than this.
         if now < self.claimed + self.settings.fencing_interval {
             return;
@@ -221,7 +221,7 @@
     }
 
     /// Waves of which more is to be recorded.
-    pub(crate) fn new_waves(&mut self) -> Vec<(u64, WaveRecord)> {
+    pub(crate) fn unrecorded_waves(&mut self) -> Vec<(u64, WaveRecord)> {
         let new = self.upkeep.waves.iter_mut().filter(|(_, course)| !course.recorded);
         new.map(|(number, course)| {
             course.recorded = true;
@@ -231,7 +231,7 @@
     }
 
     /// The record of a wave failed.
-    pub(crate) fn unrecord(&mut self, number: u64) {
+    pub(crate) fn mark_unrecorded(&mut self, number: u64) {
         if let Some(course) = self.upkeep.waves.get_mut(&number) {
             course.recorded = false;
         }
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -10,7 +10,7 @@
 impl Owner {
     /// An agent exists. Those known at a takeover must be heard, or their
     /// leases lapse, before work of the former owner starts again.
-    pub fn agent(&mut self, name: &str, now: u64) {
+    pub fn add_agent(&mut self, name: &str, now: u64) {
         let lapse = match now.saturating_sub(self.claimed) {
             // Known since the takeover: the former owner may have granted a
             // lease up to the moment at which it was replaced.
@@ -20,19 +20,19 @@
         let former = lapse > 0;
         let agent = Agent { former, lapse, joined: now, told: now, ..Agent::default() };
         if !self.agents.contains_key(name) {
-            let agent = self.dismissal.recall(name, agent);
+            let agent = self.dismissal.readmit(name, agent);
             self.agents.insert(name.to_owned(), agent);
         }
     }
 
     /// A connection to an agent was opened.
-    pub fn linked(&mut self, agent: &str, link: LinkId, now: u64) {
-        if self.dismissal.holds(agent) {
+    pub fn on_connected(&mut self, agent: &str, link: LinkId, now: u64) {
+        if self.dismissal.contains(agent) {
             // It was dialled before its row was known to be gone, or has not announced
             // itself yet. As long as an owner speaks to it, it never would.
             return self.outputs.push(Output::Close { link });
         }
-        self.agent(agent, now);
+        self.add_agent(agent, now);
         let epoch = self.epoch;
         if let Some(known) = self.agents.get_mut(agent) {
             known.told = now;
@@ -43,12 +43,12 @@
             }
             self.links.insert(link, agent.to_owned());
             self.send(link, Order::Claim { epoch });
-            self.tell_evacuation(link);
+            self.send_evacuation(link);
         }
     }
 
     /// A connection is gone.
-    pub fn unlinked(&mut self, link: LinkId) {
+    pub fn on_disconnected(&mut self, link: LinkId) {
         if let Some(name) = self.links.remove(&link)
             && let Some(agent) = self.agents.get_mut(&name)
         {
@@ -68,7 +68,14 @@
     /// at the agent as here: no renewal is known to have arrived since. Counted from the
     /// agent's word, which lives beside a dead worker for as long as it has for shutting
     /// down, what ran there was held for a lease longer: 19 s instead of 10.
-    pub(crate) fn grant(&mut self, name: &str, link: LinkId, stamp: u64, silent: u64, now: u64) {
+    pub(crate) fn grant_lease(
+        &mut self,
+        name: &str,
+        link: LinkId,
+        stamp: u64,
+        silent: u64,
+        now: u64,
+    ) {
         let bound = self.settings.quorum_window;
         let heard = |agent: &&Agent| agent.link.is_some() && now <= agent.told + bound;
         let most = self.agents.values().filter(heard).count() * 2 > self.agents.len();
@@ -88,7 +95,7 @@
 
     /// Takes note of how long a worker has owed an answer. One that answers again
     /// takes work again, though nothing else has changed.
-    pub(crate) fn hear(&mut self, name: &str, silent: u64) {
+    pub(crate) fn update_silence(&mut self, name: &str, silent: u64) {
         let Some(agent) = self.agents.get_mut(name) else { return };
         let mute = self.settings.unresponsive_after;
         self.replan |= agent.silent >= mute && silent < mute;
@@ -98,18 +105,18 @@
     /// Closes connections on which nothing comes any more. A connection may
     /// stay open without carrying anything while a new one would; only the
     /// missing pings show it.
-    pub(crate) fn close_silent(&mut self, now: u64) {
+    pub(crate) fn close_unresponsive(&mut self, now: u64) {
         let bound = self.settings.connection_timeout;
         let silent = self.agents.values().filter(|agent| now > agent.told + bound);
         let links: Vec<LinkId> = silent.filter_map(|agent| agent.link).collect();
         for link in links {
-            self.unlinked(link);
+            self.on_disconnected(link);
             self.outputs.push(Output::Close { link });
         }
     }
 
     /// Takes runs for gone whose leases have lapsed without a word.
-    pub(crate) fn lapse(&mut self, now: u64) {
+    pub(crate) fn expire_leases(&mut self, now: u64) {
         let bound = self.settings.lease + self.settings.lease_margin;
         let mut lost = Vec::new();
         for (name, agent) in &self.agents {
@@ -119,9 +126,9 @@
                 lost.push(name.clone());
             }
         }
-        self.lapse_dismissed(now);
+        self.expire_dismissed(now);
         for name in lost {
-            self.blame_crash(&name);
+            self.attribute_crash(&name);
             // What began since is not covered by the silence.
             let old = |placed: &Placed| placed.agent == name && now >= placed.began + bound;
             for (id, key) in self.runs_where(old) {
@@ -132,15 +139,15 @@
     }
 
     /// Takes runs for gone whose agents are no members any more.
-    fn lapse_dismissed(&mut self, now: u64) {
-        for (id, key) in self.runs_where(|placed| self.dismissal.lapsed(&placed.agent, now)) {
+    fn expire_dismissed(&mut self, now: u64) {
+        for (id, key) in self.runs_where(|placed| self.dismissal.has_lapsed(&placed.agent, now)) {
             self.log("run lapsed", &id, format!("{key:?}: its agent is no member"));
             self.drop_run(&id, key);
         }
     }
 
     /// True if there is a connection to the agent.
-    pub fn is_linked(&self, agent: &str) -> bool {
+    pub fn is_connected(&self, agent: &str) -> bool {
         self.agents.get(agent).is_some_and(|agent| agent.link.is_some())
     }
 
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -71,7 +71,7 @@
 impl JobView {
     /// Takes in how far the job is. An older row that comes late changes nothing:
     /// a client that was told that its job has ended must not be told otherwise.
-    pub fn take_progress(&mut self, progress: Progress, version: u64) {
+    pub fn update_progress(&mut self, progress: Progress, version: u64) {
         if version >= self.told {
             self.progress = Some(progress);
             self.told = version;
@@ -79,7 +79,7 @@
     }
 
     /// How far the job is by its row, and the row's version.
-    pub fn recorded(&self) -> Option<(Progress, u64)> {
+    pub fn recorded_progress(&self) -> Option<(Progress, u64)> {
         self.progress.clone().map(|progress| (progress, self.told))
     }
 
@@ -103,7 +103,7 @@
             if view.told > version
                 && let (Some(progress), Some(now)) = (view.progress.clone(), self.jobs.get_mut(&id))
             {
-                now.take_progress(progress, view.told);
+                now.update_progress(progress, view.told);
             }
             // Stored since the rows were read.
             if later {
@@ -116,7 +116,7 @@
     /// Takes in the changes up to a version, and tells what they mean. Two calls may be under
     /// way to the table: those that are in already change nothing, or the row of an agent
     /// that was dropped and written again would be dropped once more.
-    pub fn follow(&mut self, changes: &[Change], version: u64) -> Vec<RowEvent> {
+    pub fn apply_changes(&mut self, changes: &[Change], version: u64) -> Vec<RowEvent> {
         let known = self.version;
         let new = changes.iter().filter(|change| change.version > known);
         let news = new.filter_map(|change| self.apply(change)).collect();
@@ -141,7 +141,7 @@
             "job" => return Some(self.read_job(name, value, change)),
             "run" => serde_json::from_str(value).map(|progress| {
                 let view = self.jobs.entry(name.to_owned()).or_default();
-                view.take_progress(progress, change.version);
+                view.update_progress(progress, change.version);
                 None
             }),
             "save" => serde_json::from_str(value).map(|saved| {
@@ -172,7 +172,7 @@
     /// An owner's work grows with the workers. One on an eighth of a core beside 160
     /// workers fell behind what agents told it, did not renew its row in time, and was
     /// replaced though it lived; half a core bears them.
-    pub fn place(&self, name: &str) -> usize {
+    pub fn candidate_rank(&self, name: &str) -> usize {
         let last = |other: &str| self.last.as_deref() == Some(other);
         let Some(node) = self.nodes.get(name).filter(|_| !last(name)) else {
             return self.nodes.len();
@@ -187,7 +187,7 @@
     /// Jobs that ended so long ago that nobody asks for them any more, at most
     /// `most` of them. Without dropping their rows the table and every
     /// process's memory would grow for ever.
-    pub fn expired(&mut self, now: u64, keep: u64, most: usize) -> Vec<Id> {
+    pub fn expired_jobs(&mut self, now: u64, keep: u64, most: usize) -> Vec<Id> {
         let Mirror { jobs, ended, .. } = self;
         ended.retain(|id, _| jobs.contains_key(id));
         for (id, _) in jobs.iter().filter(|(_, view)| view.state().ended()) {
@@ -198,7 +198,7 @@
     }
 
     /// Jobs of a queue that no task has started of.
-    pub fn waiting(&self, queue: &str) -> usize {
+    pub fn queued_jobs(&self, queue: &str) -> usize {
         let waits = |view: &&JobView| {
             let job = view.job.as_ref().map(|(job, _)| job);
             let here = job.is_some_and(|job| job.queue.name == queue);
--- a/crates/dispatch/src/output.rs
+++ b/crates/dispatch/src/output.rs
@@ -13,7 +13,7 @@
         order: Order,
     },
     /// Ask which workers may run a step, and hand the answer to
-    /// [`crate::Owner::advised`].
+    /// [`crate::Owner::on_clearance`].
     RequestClearance {
         /// What is asked.
         request: ClearanceRequest,
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -7,7 +7,7 @@
 use crate::checkpoints::Checkpoints;
 use crate::detail::list;
 use crate::dismissal::Dismissal;
-use crate::election::SOONEST;
+use crate::election::OWNER_TIMEOUT_MS;
 use crate::entry::{Entry, Key, Phase, Placed};
 use crate::evacuation::EvacuationState;
 use crate::guide::Guide;
@@ -98,7 +98,7 @@
 
 /// An owner cannot have been replaced within this time after it sent a write of its row that
 /// took effect, in milliseconds; a margin is left for clocks that run apart.
-const SURE: u64 = SOONEST - 200;
+const SURE: u64 = OWNER_TIMEOUT_MS - 200;
 
 impl Owner {
     /// An owner under `epoch`, claimed when the table was at `version`.
@@ -250,7 +250,7 @@
     /// A job's checkpoints as they were recorded.
     pub fn restore(&mut self, id: &str, saved: &Checkpoints) {
         if let Some(entry) = self.jobs.get_mut(id) {
-            for (key, checkpoint) in saved.tasks() {
+            for (key, checkpoint) in saved.by_task() {
                 entry.saved.entry(key).or_insert(checkpoint);
             }
         }
@@ -286,18 +286,20 @@
         match notice {
             Notice::Superseded { epoch } => self.outputs.push(Output::Deposed { epoch }),
             Notice::Ping { stamp, silent } => {
-                self.hear(&name, silent);
-                self.grant(&name, link, stamp, silent, now);
+                self.update_silence(&name, silent);
+                self.grant_lease(&name, link, stamp, silent, now);
             }
-            Notice::Left { worker } => self.left(&name, &worker),
-            Notice::Broke { worker, starts } => self.broke(&name, worker, starts),
+            Notice::Left { worker } => self.on_left(&name, &worker),
+            Notice::Broke { worker, starts } => self.on_connections_broken(&name, worker, starts),
             Notice::Status { stamp, worker, fenced, running, ended } => {
-                self.grant(&name, link, stamp, 0, now);
-                self.status(&name, worker, fenced, (&running, &ended), (stamp, now));
+                self.grant_lease(&name, link, stamp, 0, now);
+                self.on_status(&name, worker, fenced, (&running, &ended), (stamp, now));
             }
-            Notice::Started { task, run } => self.started(&task, run, now),
-            Notice::Unstarted { task, run, why } => self.unstarted(&name, &task, run, why, now),
-            Notice::Stopped { task, run } => self.stopped(&task, run),
+            Notice::Started { task, run } => self.on_started(&task, run, now),
+            Notice::Unstarted { task, run, why } => {
+                self.on_start_refused(&name, &task, run, why, now)
+            }
+            Notice::Stopped { task, run } => self.on_stopped(&task, run),
             // Not an agent's: jobs reach the owner as rows of the table.
             Notice::Entry(_) => {}
         }
@@ -313,8 +315,8 @@
             self.looked = now;
             self.look_at_agents(now);
         }
-        self.reopen(now);
-        self.ask_refusers(now);
+        self.reopen_workers(now);
+        self.end_backoffs(now);
         if !self.settled && self.settled(now) {
             self.settled = true;
             self.replan = true;
@@ -322,8 +324,8 @@
             let detail = format!("{} ms; not heard: {waited}", now - self.claimed);
             self.log("settled", "", detail);
         }
-        self.ask_for_list(now);
-        self.maintain(now, wall);
+        self.poll_machines(now);
+        self.advance_waves(now, wall);
         // A job whose room did not become free would stand still beside idle workers
         // until something else happens.
         self.replan |= self.kept_until.take_if(|at| *at <= now).is_some();
@@ -331,7 +333,7 @@
         if due || self.ask_again.take_if(|at| *at <= now).is_some() {
             self.replan = true;
         }
-        if self.replan && !self.is_deaf(now) {
+        if self.replan && !self.operators_unreachable(now) {
             self.replan = false;
             self.plan(now, wall);
         }
@@ -343,10 +345,10 @@
         for agent in self.agents.values_mut() {
             agent.look(&self.settings, now);
         }
-        self.close_silent(now);
-        self.lapse(now);
+        self.close_unresponsive(now);
+        self.expire_leases(now);
         self.stop_unlisted(now);
-        self.look_at_evacuated(now);
+        self.check_evacuated_zones(now);
     }
 
     /// True if the owner knows that the job has ended, recorded or not.
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -12,7 +12,7 @@
 use crate::entry::{Entry, Phase, Placed};
 use crate::guide::Guide;
 use crate::owner::{Owner, task};
-use crate::suspects::{RecentStart, one_by_one};
+use crate::suspects::{RecentStart, isolate_suspects};
 
 impl Owner {
     /// Decides what starts now.
@@ -70,7 +70,7 @@
                     if tasks.is_empty() {
                         continue;
                     }
-                    for group in one_by_one(id, entry, (occurrence, number), tasks, now) {
+                    for group in isolate_suspects(id, entry, (occurrence, number), tasks, now) {
                         let need = step.need.accelerators * group.0.len() as u64;
                         // One that has begun and gave way comes after those that have not: it
                         // would take the room back that was made for them.
@@ -175,12 +175,12 @@
         let pool = self.pool(entry);
         let barred = Barred {
             uncleared: self.uncleared(candidate, board, now),
-            avoided: self.avoided(candidate, board, now),
-            apart: self.kept_apart(candidate, board),
+            avoided: self.avoided_places(candidate, board, now),
+            apart: self.excluded_places(candidate, board),
         };
         let places = barred.places();
         let spared = match candidate.suspect {
-            true => self.try_suspect(candidate, (&step, &pool), (board, &places), (now, wall)),
+            true => self.place_suspect(candidate, (&step, &pool), (board, &places), (now, wall)),
             false => self.place_on_rest(candidate, (&step, &pool), (board, &places), (now, wall)),
         };
         if self.unplaced(candidate) == 0 {
@@ -190,7 +190,11 @@
             self.look_again(wall + APART);
         }
         if !barred.uncleared.is_empty() {
-            self.ask(candidate, roomiest(&barred.uncleared, board, &pool, &step.label), now);
+            self.request_clearance(
+                candidate,
+                roomiest(&barred.uncleared, board, &pool, &step.label),
+                now,
+            );
         }
         let bars = board.bars(&spared, &barred);
         self.note_wait(candidate, board, &bars, now);
@@ -320,7 +324,7 @@
             board.actual[place].take(&need);
             let name = spot.name.clone();
             let fresh = if candidate.suspect { RecentStart::Suspect } else { RecentStart::Any };
-            fresh.note(&mut board.fresh, place);
+            fresh.record(&mut board.fresh, place);
             let Some(worker) = self.agents.get(&name).and_then(|agent| agent.worker.as_ref())
             else {
                 continue;
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -22,7 +22,7 @@
 
 impl Owner {
     /// What is to be recorded now; none if a record is under way.
-    pub fn record(&mut self) -> Option<Batch> {
+    pub fn next_batch(&mut self) -> Option<Batch> {
         if self.recording {
             return None;
         }
@@ -40,14 +40,14 @@
             for (name, agent) in self.agents.iter().filter(|(_, agent)| agent.noted > agent.seen) {
                 let Some(worker) = &agent.worker else { continue };
                 let (agent, worker, number) = (name.clone(), worker.incarnation(), agent.noted);
-                batch.seen.push(AcknowledgedEnds { agent, worker, number });
+                batch.acknowledged.push(AcknowledgedEnds { agent, worker, number });
             }
             self.urgent = false;
         }
-        batch.gone = self.gone().into_iter().take(GONE).collect();
-        self.begin_dismissal(&batch.gone, true);
-        batch.saved = self.unsaved();
-        batch.waves = self.new_waves();
+        batch.departed = self.gone().into_iter().take(GONE).collect();
+        self.set_dropping(&batch.departed, true);
+        batch.checkpoints = self.unsaved();
+        batch.waves = self.unrecorded_waves();
         self.recording = true;
         Some(batch)
     }
@@ -92,29 +92,29 @@
     }
 
     /// True if callers wait for what is to be recorded.
-    pub fn urgent(&self) -> bool {
+    pub fn has_urgent_changes(&self) -> bool {
         self.urgent
     }
 
     /// True if something is to be recorded.
-    pub fn unrecorded(&self) -> bool {
+    pub fn has_unrecorded(&self) -> bool {
         !self.dirty.is_empty() || self.agents.values().any(|agent| agent.noted > agent.seen)
     }
 
     /// A batch was recorded, or was not.
-    pub fn recorded(&mut self, batch: &Batch, done: bool) {
+    pub fn on_recorded(&mut self, batch: &Batch, done: bool) {
         self.recording = false;
         if !done {
-            self.begin_dismissal(&batch.gone, false);
+            self.set_dropping(&batch.departed, false);
             for (id, _) in &batch.jobs {
                 self.dirty.insert(id.clone());
             }
             self.urgent = true;
             self.learned |= batch.times.is_some();
             for (number, _) in &batch.waves {
-                self.unrecord(*number);
+                self.mark_unrecorded(*number);
             }
-            for (id, _) in &batch.saved {
+            for (id, _) in &batch.checkpoints {
                 if let Some(entry) = self.jobs.get_mut(id) {
                     entry.unsaved = true;
                     entry.kept = 0;
@@ -122,17 +122,17 @@
             }
             return;
         }
-        for seen in &batch.seen {
+        for seen in &batch.acknowledged {
             self.forget(seen);
         }
-        for name in &batch.gone {
+        for name in &batch.departed {
             // One that has announced itself since then is a member again.
             if self.agents.get(name).is_some_and(|agent| agent.dropping) {
                 self.dismiss(name);
             }
         }
         for (id, progress) in &batch.jobs {
-            self.note_recorded(id);
+            self.on_progress_recorded(id);
             let idle = self.jobs.get(id).is_some_and(|entry| entry.runs.is_empty());
             if progress.state.ended() && idle && !self.dirty.contains(id) {
                 self.close_job(id);
--- a/crates/dispatch/src/refusals.rs
+++ b/crates/dispatch/src/refusals.rs
@@ -29,7 +29,7 @@
     /// A worker refused a start, though it should not have been ordered one: it has less
     /// room than is believed, or is unhealthy. Asked again at once, it would refuse
     /// hundreds of times a second where no other worker suits the task.
-    pub(crate) fn refused(&mut self, name: &str, now: u64) {
+    pub(crate) fn back_off(&mut self, name: &str, now: u64) {
         let last = now + self.settings.failure_cooldown / 10;
         if let Some(agent) = self.agents.get_mut(name) {
             agent.doubted = agent.doubted.max(last);
@@ -38,7 +38,7 @@
     }
 
     /// Opens workers that were left alone for long enough.
-    pub(crate) fn ask_refusers(&mut self, now: u64) {
+    pub(crate) fn end_backoffs(&mut self, now: u64) {
         let over = |agent: &&mut Agent| agent.refusals.until > 0 && now >= agent.refusals.until;
         for agent in self.agents.values_mut().filter(over) {
             agent.refusals.until = 0;
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -9,7 +9,7 @@
 
 impl Owner {
     /// An agent told what its worker is and does.
-    pub(crate) fn status(
+    pub(crate) fn on_status(
         &mut self,
         name: &str,
         worker: Option<Worker>,
@@ -19,7 +19,7 @@
     ) {
         let crashed = |worker: &Worker| self.follows_crash(name, &worker.incarnation());
         if worker.as_ref().is_some_and(crashed) {
-            self.blame_crash(name);
+            self.attribute_crash(name);
         }
         let Some(agent) = self.agents.get_mut(name) else { return };
         let Some(worker) = worker else {
@@ -107,15 +107,15 @@
     }
 
     /// A worker said that it ends.
-    pub(crate) fn left(&mut self, name: &str, from: &Incarnation) {
+    pub(crate) fn on_left(&mut self, name: &str, from: &Incarnation) {
         if let Some(agent) = self.agents.get_mut(name) {
             agent.crash = None;
         }
-        self.over(name, from, "left");
+        self.end_incarnation(name, from, "left");
     }
 
     /// An incarnation of a worker is over, and all that ran there.
-    pub(crate) fn over(&mut self, name: &str, from: &Incarnation, how: &str) {
+    pub(crate) fn end_incarnation(&mut self, name: &str, from: &Incarnation, how: &str) {
         if let Some(agent) = self.agents.get_mut(name) {
             agent.heard = true;
             agent.left = true;
@@ -159,7 +159,7 @@
 
     /// A worker lists a run.
     fn running(&mut self, name: &str, from: &Incarnation, run: &Run, now: u64) {
-        let key = key(&run.task);
+        let key = task_key(&run.task);
         let Some(entry) = self.jobs.get_mut(&run.task.job) else {
             return self.stop_stray(name, from, &run.task, run.number, now);
         };
@@ -274,7 +274,7 @@
             return self.pass_over(name, from, end);
         }
         agent.noted = end.number;
-        let key = key(&end.task);
+        let key = task_key(&end.task);
         let job = end.task.job.clone();
         let Some(entry) = self.jobs.get_mut(&job) else { return };
         let slot = entry.key(key);
@@ -293,7 +293,7 @@
             format!("{} run {} {:?} at {name}{spent}", end.task, end.run, end.how),
         );
         if matches!(end.how, How::Done | How::Failed) {
-            self.outlived(&end.task);
+            self.on_start_outlived(&end.task);
         }
         match end.how {
             How::Done => {
@@ -312,7 +312,7 @@
     /// number may be another end's.
     fn pass_over(&mut self, name: &str, from: &Incarnation, end: &End) {
         let Some(entry) = self.jobs.get(&end.task.job) else { return };
-        let placed = entry.runs.get(&key(&end.task));
+        let placed = entry.runs.get(&task_key(&end.task));
         if placed.is_some_and(|placed| placed.worker == *from && placed.run == end.run) {
             let End { number, task, run, how, .. } = end;
             let detail = format!("{task} run {run} {how:?} at {name}, number {number}");
@@ -324,7 +324,7 @@
     /// its job's objective allows for; one a step is enough to learn from.
     fn learn(&mut self, task: &Task, run: &Placed, now: u64) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        let estimate = entry.step(key(task)).map_or(0, |step| step.estimate);
+        let estimate = entry.step(task_key(task)).map_or(0, |step| step.estimate);
         if !run.whole || estimate == 0 {
             return;
         }
@@ -354,11 +354,11 @@
         entry.progress.finish(&entry.job, task);
         let ended = entry.progress.state.ended();
         // A copy of a task that is done must not go on.
-        let other = entry.runs.contains_key(&key(task));
+        let other = entry.runs.contains_key(&task_key(task));
         let gang = step_is_gang(entry.job.steps.get(task.step as usize));
         self.touch(&task.job, ended);
         if other && !gang {
-            self.stop(&task.job, key(task), now);
+            self.stop(&task.job, task_key(task), now);
         }
         if ended {
             self.tell_end(&task.job, State::Succeeded);
@@ -372,9 +372,9 @@
             agent.failures += 1;
             agent.doubted = now + doubt * u64::from(agent.failures.min(3));
         }
-        self.blame(name, task, now);
+        self.record_failure(name, task, now);
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        let perpetual = entry.step(key(task)).is_some_and(|step| step.perpetual);
+        let perpetual = entry.step(task_key(task)).is_some_and(|step| step.perpetual);
         if entry.progress.state.ended() || perpetual {
             return;
         }
@@ -396,9 +396,9 @@
     }
 
     /// A start took effect.
-    pub(crate) fn started(&mut self, task: &Task, run: u64, now: u64) {
+    pub(crate) fn on_started(&mut self, task: &Task, run: u64, now: u64) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        let Some(placed) = entry.runs.get_mut(&key(task)) else { return };
+        let Some(placed) = entry.runs.get_mut(&task_key(task)) else { return };
         if placed.run != run {
             return;
         }
@@ -419,9 +419,16 @@
     }
 
     /// A start did not take effect.
-    pub(crate) fn unstarted(&mut self, name: &str, task: &Task, run: u64, why: Refused, now: u64) {
+    pub(crate) fn on_start_refused(
+        &mut self,
+        name: &str,
+        task: &Task,
+        run: u64,
+        why: Refused,
+        now: u64,
+    ) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        let key = key(task);
+        let key = task_key(task);
         if entry.runs.get(&key).is_none_or(|placed| placed.run != run) {
             return;
         }
@@ -429,7 +436,7 @@
         if let Some(clearance) = entry.clearances.get_mut(&(key.0, key.1))
             && why == Refused::Ticket
         {
-            clearance.refuse(&worker);
+            clearance.drop_ticket(&worker);
         }
         self.replan = true;
         self.log("start refused", &task.job, format!("{task} run {run} {why:?} at {name}"));
@@ -438,7 +445,7 @@
             Refused::Leaving | Refused::Old | Refused::Lease | Refused::Fence | Refused::Ticket
         );
         if !sound {
-            self.refused(name, now);
+            self.back_off(name, now);
         }
         self.stop_mates(&task.job, key, now);
     }
@@ -459,20 +466,20 @@
 
     /// A stop was confirmed, and the worker has been looked at since: what it
     /// does not list is gone.
-    pub(crate) fn stopped(&mut self, task: &Task, run: u64) {
+    pub(crate) fn on_stopped(&mut self, task: &Task, run: u64) {
         let Some(entry) = self.jobs.get(&task.job) else { return };
-        let Some(placed) = entry.runs.get(&key(task)) else { return };
+        let Some(placed) = entry.runs.get(&task_key(task)) else { return };
         let listed = self.agents.get(&placed.agent).is_some_and(|agent| {
             agent.listed.iter().any(|(known, number)| known == task && *number == run)
         });
         if placed.run == run && !listed && placed.phase == Phase::Stopping {
             let id = task.job.clone();
-            self.drop_run(&id, key(task));
+            self.drop_run(&id, task_key(task));
         }
     }
 }
 
-pub(crate) fn key(task: &Task) -> Key {
+pub(crate) fn task_key(task: &Task) -> Key {
     (task.occurrence, task.step, task.index)
 }
 
--- a/crates/dispatch/src/rows.rs
+++ b/crates/dispatch/src/rows.rs
@@ -106,7 +106,7 @@
     /// whose former incarnation has ended. That holds for the owners before only if the
     /// holder had outlived what they granted; one that was cut off may not know yet
     /// that it was replaced twice.
-    pub fn has_ended(&self, name: &str) -> bool {
+    pub fn grants_ended(&self, name: &str) -> bool {
         self.settled && (self.holder.is_empty() || self.holder == name)
     }
 }
--- a/crates/dispatch/src/settlement.rs
+++ b/crates/dispatch/src/settlement.rs
@@ -22,7 +22,7 @@
 
 impl Owner {
     /// Tells whom older jobs wait for, and why, once for all of them.
-    pub(crate) fn tell_unsettled(&mut self, now: u64, wall: u64) {
+    pub(crate) fn log_unsettled(&mut self, now: u64, wall: u64) {
         let waited = now - self.claimed;
         if self.settled || waited < BOUND || now < self.awaited.next {
             return;
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -110,7 +110,7 @@
 
     /// Writes the lines that are due.
     pub(crate) fn tell_waits(&mut self, now: u64, wall: u64) {
-        self.tell_unsettled(now, wall);
+        self.log_unsettled(now, wall);
         self.review_waits(now);
         if !self.waits.is_due(now) {
             return;
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -10,7 +10,7 @@
 use crate::candidate::Candidate;
 use crate::entry::{Entry, Key, Placed};
 use crate::owner::Owner;
-use crate::reports::key;
+use crate::reports::task_key;
 
 /// Crashes that may have been the doing of several tasks, as far as they are remembered. A task
 /// that is tried by itself is found out within a second; in that time few workers crash.
@@ -28,7 +28,12 @@
 impl Owner {
     /// A worker broke its connections just after these starts. One that leaves or is taken
     /// down does so, too.
-    pub(crate) fn broke(&mut self, name: &str, worker: Incarnation, starts: Vec<(Task, u64)>) {
+    pub(crate) fn on_connections_broken(
+        &mut self,
+        name: &str,
+        worker: Incarnation,
+        starts: Vec<(Task, u64)>,
+    ) {
         self.log("worker broke", name, format!("{worker} just after {}", list_starts(&starts)));
         let Some(agent) = self.agents.get_mut(name) else { return };
         let there = agent.worker.as_ref().filter(|known| known.is(&worker));
@@ -38,7 +43,7 @@
         let later = there.is_none() && agent.worker.is_some();
         agent.crash = Some(SuspectedCrash { worker, starts });
         if later {
-            self.blame_crash(name);
+            self.attribute_crash(name);
         }
     }
 
@@ -50,7 +55,7 @@
 
     /// An incarnation of an agent's worker is over. Counts it against what had just started there,
     /// and gives up a task that has crashed too many workers in a row.
-    pub(crate) fn blame_crash(&mut self, name: &str) {
+    pub(crate) fn attribute_crash(&mut self, name: &str) {
         let Some(agent) = self.agents.get_mut(name) else { return };
         let Some(SuspectedCrash { starts, .. }) = agent.crash.take() else { return };
         let among = starts.len();
@@ -76,7 +81,7 @@
         let others: Vec<Vec<Task>> = self.shared.extract_if(.., with_bad).collect();
         for task in others.iter().flatten().filter(|task| *task != bad) {
             let Some(entry) = self.jobs.get_mut(&task.job) else { continue };
-            entry.explained.insert(entry.key(key(task)));
+            entry.explained.insert(entry.key(task_key(task)));
             self.replan = true;
         }
     }
@@ -89,7 +94,7 @@
         }
         // One that has outlived a start is not the cause; but a list that was held up on its
         // way may have shown it alive, so alone it counts.
-        if among > 1 && entry.sound.contains(&entry.key(key(task))) {
+        if among > 1 && entry.sound.contains(&entry.key(task_key(task))) {
             return;
         }
         let known = entry.progress.crashes(&entry.job, task);
@@ -97,7 +102,7 @@
         if crashes == known {
             return;
         }
-        entry.explained.remove(&entry.key(key(task)));
+        entry.explained.remove(&entry.key(task_key(task)));
         entry.unrecorded = true;
         entry.reserved.remove(&(task.occurrence, task.step));
         let detail = format!(
@@ -111,7 +116,7 @@
     }
 
     /// The record of a job was written: crashes under its tasks are not forgotten any more.
-    pub(crate) fn note_recorded(&mut self, id: &str) {
+    pub(crate) fn on_progress_recorded(&mut self, id: &str) {
         let newer = self.dirty.contains(id);
         if let Some(entry) = self.jobs.get_mut(id).filter(|entry| entry.unrecorded && !newer) {
             entry.unrecorded = false;
@@ -133,7 +138,7 @@
         }
         for run in running {
             let Some(entry) = self.jobs.get_mut(&run.task.job) else { continue };
-            let Some(placed) = entry.runs.get_mut(&key(&run.task)) else { continue };
+            let Some(placed) = entry.runs.get_mut(&task_key(&run.task)) else { continue };
             if placed.worker != *worker || placed.run != run.number || placed.outlived {
                 continue;
             }
@@ -141,24 +146,24 @@
             let first = placed.listed.map_or(stamp, |first| first.min(stamp));
             placed.listed = Some(first);
             placed.outlived = stamp >= first + APART;
-            if placed.outlived && entry.gang_outlived(key(&run.task)) {
-                self.outlived(&run.task);
+            if placed.outlived && entry.gang_outlived(task_key(&run.task)) {
+                self.on_start_outlived(&run.task);
             }
         }
     }
 
     /// A task outlived its start, and so did its gang: it crashes no workers, as one that does
     /// crashes each.
-    pub(crate) fn outlived(&mut self, task: &Task) {
+    pub(crate) fn on_start_outlived(&mut self, task: &Task) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        entry.sound.insert(entry.key(key(task)));
+        entry.sound.insert(entry.key(task_key(task)));
         self.clear_suspect(task, "it outlived its start");
     }
 
     /// A task is no suspect any more.
     fn clear_suspect(&mut self, task: &Task, why: &str) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        if entry.crashes(&task.job, key(task)) == 0 {
+        if entry.crashes(&task.job, task_key(task)) == 0 {
             return;
         }
         entry.progress.clear(&entry.job, task);
@@ -169,7 +174,7 @@
 
     /// Starts a suspect where the least is lost with the worker that it may crash: at as few
     /// of the least used workers as hold it. Returns the places that it leaves to others.
-    pub(crate) fn try_suspect(
+    pub(crate) fn place_suspect(
         &mut self,
         candidate: &Candidate,
         (step, pool): (&Step, &str),
@@ -194,7 +199,7 @@
     /// The places at which a candidate must not start now, lest a crash there be blamed on
     /// it or on what has just started there: for a suspect all at which anything has, for
     /// others those at which a suspect has.
-    pub(crate) fn kept_apart(&self, candidate: &Candidate, board: &Board) -> Vec<usize> {
+    pub(crate) fn excluded_places(&self, candidate: &Candidate, board: &Board) -> Vec<usize> {
         let kept = |fresh: RecentStart| candidate.suspect || fresh == RecentStart::Suspect;
         let fresh = board.fresh.iter().filter(|(_, fresh)| kept(**fresh));
         fresh.map(|(place, _)| *place).collect()
@@ -212,7 +217,7 @@
 
 impl RecentStart {
     /// Takes note of a start at a place.
-    pub fn note(self, fresh: &mut BTreeMap<usize, RecentStart>, place: usize) {
+    pub fn record(self, fresh: &mut BTreeMap<usize, RecentStart>, place: usize) {
         let known = fresh.entry(place).or_insert(self);
         *known = self.max(*known);
     }
@@ -232,7 +237,7 @@
 /// and each of them would cost a worker. The others wait until it has outlived its start, or
 /// another task is found to be the cause; those of other steps, which may find room where it
 /// does not, no longer than [`PATIENCE`].
-pub(crate) fn one_by_one(
+pub(crate) fn isolate_suspects(
     id: &str,
     entry: &Entry,
     (occurrence, step): (u32, u32),
--- a/crates/dispatch/src/throttle.rs
+++ b/crates/dispatch/src/throttle.rs
@@ -11,7 +11,7 @@
 
 use crate::entry::{Key, Phase};
 use crate::owner::Owner;
-use crate::reports::key;
+use crate::reports::task_key;
 
 impl Owner {
     /// Sets the pace of the tasks that fill one worker by how those that serve
@@ -21,8 +21,8 @@
         let mut orders = Vec::new();
         for run in running {
             let Some(entry) = self.jobs.get_mut(&run.task.job) else { continue };
-            let fills = entry.step(key(&run.task)).is_some_and(|step| step.fills);
-            let Some(placed) = entry.runs.get_mut(&key(&run.task)).filter(|_| fills) else {
+            let fills = entry.step(task_key(&run.task)).is_some_and(|step| step.fills);
+            let Some(placed) = entry.runs.get_mut(&task_key(&run.task)).filter(|_| fills) else {
                 continue;
             };
             let percent = share(placed.pace, load);
@@ -45,7 +45,7 @@
     /// none serves.
     fn load(&self, running: &[Run]) -> Option<u64> {
         let loads = running.iter().filter_map(|run| {
-            let step = self.jobs.get(&run.task.job)?.step(key(&run.task))?;
+            let step = self.jobs.get(&run.task.job)?.step(task_key(&run.task))?;
             (step.target > 0).then(|| run.gauge * 100 / step.target)
         });
         loads.max()
--- a/crates/dispatch/src/unanswered_writes.rs
+++ b/crates/dispatch/src/unanswered_writes.rs
@@ -21,7 +21,7 @@
 
 impl UnansweredWrites {
     /// A write for this job got no answer.
-    pub fn note(&mut self, id: &str, now: u64) {
+    pub fn record(&mut self, id: &str, now: u64) {
         if self.since.len() >= MOST {
             self.since.retain(|_, since| now < *since + KEPT);
         }
@@ -35,12 +35,12 @@
     }
 
     /// The job's row was seen.
-    pub fn settle(&mut self, id: &str) {
+    pub fn resolve(&mut self, id: &str) {
         self.since.remove(id);
     }
 
     /// True if "not accepted" may be untrue for this job.
-    pub fn holds(&self, id: &str, now: u64) -> bool {
+    pub fn contains(&self, id: &str, now: u64) -> bool {
         self.since.get(id).is_some_and(|since| now < *since + KEPT)
     }
 }
--- a/crates/dispatch/src/unconfirmed_jobs.rs
+++ b/crates/dispatch/src/unconfirmed_jobs.rs
@@ -31,7 +31,7 @@
 
     /// The table performed a write of this owner that has this version. Returns the jobs
     /// that were stored before it.
-    pub fn prove(&mut self, version: u64) -> Vec<Id> {
+    pub fn confirm(&mut self, version: u64) -> Vec<Id> {
         let older = self.jobs.extract_if(.., |(_, stored)| *stored < version);
         older.map(|(id, _)| id).collect()
     }
--- a/crates/dispatch/tests/advice.rs
+++ b/crates/dispatch/tests/advice.rs
@@ -18,7 +18,7 @@
     let question = bed.questions.remove(0);
     let ticket = |worker: &&str| ((*worker).to_owned(), format!("ticket-{worker}"));
     let tickets: Vec<(String, String)> = good.iter().map(ticket).collect();
-    bed.owner.advised(&question, Some((&tickets, 5000)), bed.now, bed.now);
+    bed.owner.on_clearance(&question, Some((&tickets, 5000)), bed.now, bed.now);
     bed.step();
 }
 
@@ -82,7 +82,7 @@
     bed.step();
     bed.told();
     let question = bed.questions.remove(0);
-    bed.owner.advised(&question, None, bed.now, bed.now);
+    bed.owner.on_clearance(&question, None, bed.now, bed.now);
     bed.step();
     let at_once = bed.told();
     bed.pass(400);
--- a/crates/dispatch/tests/bed/mod.rs
+++ b/crates/dispatch/tests/bed/mod.rs
@@ -25,7 +25,7 @@
     pub fn open(epoch: u64, agents: u64) -> Bed {
         let mut owner = Owner::open(Settings::default(), epoch, CLAIM, 10_000);
         for number in 0..agents {
-            owner.agent(&format!("w{number}"), 10_000);
+            owner.add_agent(&format!("w{number}"), 10_000);
         }
         Bed {
             owner,
@@ -48,7 +48,7 @@
     }
 
     pub fn link(&mut self, number: u64) {
-        self.owner.linked(&format!("w{number}"), number, self.now);
+        self.owner.on_connected(&format!("w{number}"), number, self.now);
     }
 
     pub fn status(&mut self, number: u64, running: &[Run], ended: &[End]) {
@@ -82,8 +82,8 @@
     }
 
     pub fn record(&mut self) -> Batch {
-        let batch = self.owner.record().unwrap_or_default();
-        self.owner.recorded(&batch, true);
+        let batch = self.owner.next_batch().unwrap_or_default();
+        self.owner.on_recorded(&batch, true);
         self.drain();
         batch
     }
--- a/crates/dispatch/tests/dismissed.rs
+++ b/crates/dispatch/tests/dismissed.rs
@@ -27,15 +27,15 @@
 fn nothing_starts_at_a_member_whose_row_is_being_dropped() {
     let mut bed = Bed::open(1, 2).idle(2);
     pass(&mut bed, 15_000, 0);
-    let batch = bed.owner.record().unwrap_or_default();
+    let batch = bed.owner.next_batch().unwrap_or_default();
     // It answers again before the table does.
     bed.notice(1, Notice::Ping { stamp: bed.now, silent: 0 });
     bed.owner.job("a", job(1, vec![step(9, 1)]), 150, None);
     bed.step();
     let began = bed.told().lines().filter(|line| line.starts_with("w1")).count();
-    bed.owner.recorded(&batch, true);
+    bed.owner.on_recorded(&batch, true);
     bed.step();
-    assert_snapshot!(format!("gone {:?}, {began} began there", batch.gone), @r#"gone ["w1"], 0 began there"#);
+    assert_snapshot!(format!("gone {:?}, {began} began there", batch.departed), @r#"gone ["w1"], 0 began there"#);
 }
 
 // Symptom: as above. Sequence: as above, but the worker lists a run that goes on there.
@@ -47,11 +47,11 @@
     bed.step();
     bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
     pass(&mut bed, 15_000, 0);
-    let batch = bed.owner.record().unwrap_or_default();
+    let batch = bed.owner.next_batch().unwrap_or_default();
     // It answers again before the table does, and what it lists is taken in.
     bed.owner.job("b", job(1, vec![step(1, 8)]), 151, None);
     bed.status(1, &[run(task("b", 0, 0), 1)], &[]);
-    bed.owner.recorded(&batch, true);
+    bed.owner.on_recorded(&batch, true);
     bed.told();
     let begin = bed.now;
     bed.status(0, &[], &[bed::end(1, task("a", 0, 0), 1, How::Done)]);
@@ -63,7 +63,7 @@
         let starts = told.lines().filter(|line| line.contains("start"));
         again.extend(starts.map(|line| format!("{ms} ms: {line}")));
     }
-    assert_snapshot!(format!("gone {:?}\n{}", batch.gone, again.join("\n")), @r#"
+    assert_snapshot!(format!("gone {:?}\n{}", batch.departed, again.join("\n")), @r#"
     gone ["w1"]
     6500 ms: w0 start b.0.0.0 run 2
     "#);
@@ -81,7 +81,7 @@
     let silent = pass(&mut bed, 15_000, 0);
     bed.record();
     let dropped = bed.told();
-    bed.owner.agent("w1", bed.now);
+    bed.owner.add_agent("w1", bed.now);
     bed.link(1);
     // What the agent tells on a claim, and when: `Runner::claim` and `Runner::tick`.
     bed.status(1, &[], &[]);
--- a/crates/dispatch/tests/election.rs
+++ b/crates/dispatch/tests/election.rs
@@ -14,21 +14,21 @@
 
 #[test]
 fn a_row_that_stands_still_while_the_table_is_heard_is_taken_over() {
-    let mut election = Election::open("a", 1, 2500);
-    election.observe(70, 1000);
+    let mut election = Election::new("a", 1, 2500);
+    election.observe_row(70, 1000);
     let row = owner("b", 1);
     for heard in (1500..4200).step_by(500) {
-        election.observe(70, heard);
+        election.observe_row(70, heard);
     }
     let told = [(2000, 2000), (4100, 4100), (1500, 9000)]
-        .map(|(heard, now)| election.due(row.as_ref(), heard, now, false));
+        .map(|(heard, now)| election.should_claim(row.as_ref(), heard, now, false));
     assert_snapshot!(format!("{told:?}"), @"[false, true, false]");
 }
 
 #[test]
 fn an_entry_takes_over_from_its_own_former_life_at_once() {
-    let election = Election::open("a", 2, 2500);
-    let due = |row: Option<(Ownership, u64)>| election.due(row.as_ref(), 10, 10, false);
+    let election = Election::new("a", 2, 2500);
+    let due = |row: Option<(Ownership, u64)>| election.should_claim(row.as_ref(), 10, 10, false);
     let told = [due(owner("a", 1)), due(owner("a", 2)), due(owner("", 7)), due(None)];
     assert_snapshot!(format!("{told:?}"), @"[true, false, true, true]");
 }
@@ -38,14 +38,14 @@
 // Cause: entries that drain never took over.
 #[test]
 fn an_entry_that_drains_steps_in_where_nobody_else_does() {
-    let mut election = Election::open("a", 1, 2500);
-    election.observe(70, 1000);
+    let mut election = Election::new("a", 1, 2500);
+    election.observe_row(70, 1000);
     let (vacant, held) = (owner("", 7), owner("b", 7));
     let told = [
-        election.due(vacant.as_ref(), 1000, 1200, true),
-        election.due(vacant.as_ref(), 1000, 1300, true),
-        election.due(held.as_ref(), 5000, 5000, true),
-        election.due(None, 5000, 5000, true),
+        election.should_claim(vacant.as_ref(), 1000, 1200, true),
+        election.should_claim(vacant.as_ref(), 1000, 1300, true),
+        election.should_claim(held.as_ref(), 5000, 5000, true),
+        election.should_claim(None, 5000, 5000, true),
     ];
     assert_snapshot!(format!("{told:?}"), @"[false, true, false, false]");
 }
@@ -54,17 +54,17 @@
 // Cause: only the row that stood still showed it.
 #[test]
 fn an_owner_whose_connection_broke_and_that_stays_silent_is_replaced_soon() {
-    let mut election = Election::open("a", 1, 2500);
+    let mut election = Election::new("a", 1, 2500);
     let row = owner("b", 1);
-    election.observe(70, 1000);
-    election.lost(1100);
-    let mut told = vec![election.due(row.as_ref(), 1100, 1700, false)];
-    told.push(election.due(row.as_ref(), 1100, 2300, false));
-    election.found();
-    told.push(election.due(row.as_ref(), 1100, 2300, false));
-    election.lost(2400);
-    election.observe(71, 2500);
-    told.push(election.due(row.as_ref(), 2500, 3600, false));
+    election.observe_row(70, 1000);
+    election.on_owner_disconnected(1100);
+    let mut told = vec![election.should_claim(row.as_ref(), 1100, 1700, false)];
+    told.push(election.should_claim(row.as_ref(), 1100, 2300, false));
+    election.on_owner_connected();
+    told.push(election.should_claim(row.as_ref(), 1100, 2300, false));
+    election.on_owner_disconnected(2400);
+    election.observe_row(71, 2500);
+    told.push(election.should_claim(row.as_ref(), 2500, 3600, false));
     assert_snapshot!(format!("{told:?}"), @"[false, true, false, false]");
 }
 
@@ -74,15 +74,15 @@
 // Cause: the time in which nobody could write counted as the owner's silence.
 #[test]
 fn an_outage_of_the_table_is_not_held_against_the_owner() {
-    let mut election = Election::open("a", 1, 1600);
+    let mut election = Election::new("a", 1, 1600);
     let row = owner("b", 1);
-    election.observe(70, 1000);
-    election.observe(70, 9000);
-    let mut told = vec![election.due(row.as_ref(), 9000, 9000, false)];
+    election.observe_row(70, 1000);
+    election.observe_row(70, 9000);
+    let mut told = vec![election.should_claim(row.as_ref(), 9000, 9000, false)];
     for heard in (9400..12_000).step_by(400) {
-        election.observe(70, heard);
+        election.observe_row(70, heard);
     }
-    told.push(election.due(row.as_ref(), 11_800, 11_800, false));
+    told.push(election.should_claim(row.as_ref(), 11_800, 11_800, false));
     assert_snapshot!(format!("{told:?}"), @"[false, true]");
 }
 
@@ -109,13 +109,13 @@
     let version = row.map_or(0, |(_, version)| *version);
     let mut found = Vec::new();
     for (name, _) in machines {
-        let mut election = Election::open(name, 1, 1700);
-        election.observe(version, 1000);
+        let mut election = Election::new(name, 1, 1700);
+        election.observe_row(version, 1000);
         if lost {
-            election.lost(1000);
+            election.on_owner_disconnected(1000);
         }
-        election.stand(mirror.place(name));
-        let due = |now: &u64| election.due(row, 1000, *now, false);
+        election.set_rank(mirror.candidate_rank(name));
+        let due = |now: &u64| election.should_claim(row, 1000, *now, false);
         found.extend((1000..4000).find(due).map(|now| ((*name).to_owned(), now - 1000)));
     }
     found.sort_by_key(|(_, after)| *after);
@@ -152,11 +152,11 @@
 // that announced themselves before it, so that a small one is the largest it knows.
 #[test]
 fn at_the_first_start_entries_wait_until_they_know_of_one_another() {
-    let mut election = Election::open("a-small", 1, 1700);
-    election.unowned(1000);
-    election.unowned(1200);
-    election.stand(1);
-    let told = [1000, 1500, 1559, 1560].map(|now| election.due(None, now, now, false));
+    let mut election = Election::new("a-small", 1, 1700);
+    election.on_unowned(1000);
+    election.on_unowned(1200);
+    election.set_rank(1);
+    let told = [1000, 1500, 1559, 1560].map(|now| election.should_claim(None, now, now, false));
     assert_snapshot!(format!("{told:?}"), @"[false, false, false, true]");
 }
 
@@ -164,15 +164,15 @@
 // be cut off as well.
 #[test]
 fn an_entry_that_was_asked_to_step_in_does_so_at_once() {
-    let mut election = Election::open("z-small", 1, 1700);
+    let mut election = Election::new("z-small", 1, 1700);
     let row = owner("", 7);
-    election.stand(9);
-    election.observe(70, 1000);
-    let mut told = vec![election.due(row.as_ref(), 1000, 1001, false)];
-    election.call(70);
-    told.push(election.due(row.as_ref(), 1000, 1001, false));
-    election.call(69);
-    told.push(election.due(row.as_ref(), 1000, 1001, false));
+    election.set_rank(9);
+    election.observe_row(70, 1000);
+    let mut told = vec![election.should_claim(row.as_ref(), 1000, 1001, false)];
+    election.on_handover(70);
+    told.push(election.should_claim(row.as_ref(), 1000, 1001, false));
+    election.on_handover(69);
+    told.push(election.should_claim(row.as_ref(), 1000, 1001, false));
     assert_snapshot!(format!("{told:?}"), @"[false, true, false]");
 }
 
@@ -182,13 +182,13 @@
 fn an_owner_that_says_nothing_and_whose_row_stands_still_is_replaced_soon() {
     let row = owner("b", 1);
     let due = |word: u64, row_at: u64| {
-        let mut election = Election::open("a", 1, 1700);
-        election.found();
-        election.observe(69, 1000);
-        election.alive(1000);
-        election.observe(70, row_at);
-        election.alive(word);
-        let due = |now: u64| election.due(row.as_ref(), now, now, false);
+        let mut election = Election::new("a", 1, 1700);
+        election.on_owner_connected();
+        election.observe_row(69, 1000);
+        election.on_owner_heartbeat(1000);
+        election.observe_row(70, row_at);
+        election.on_owner_heartbeat(word);
+        let due = |now: u64| election.should_claim(row.as_ref(), now, now, false);
         (1000..4000).step_by(50).find(|now| due(*now))
     };
     let told = [
@@ -210,21 +210,21 @@
     let mut soonest = u64::MAX;
     for lost in (0..4000).step_by(100) {
         for word in (0..4000).step_by(100) {
-            let mut election = Election::open("a", 1, 1700);
+            let mut election = Election::new("a", 1, 1700);
             let mut events = [(0, 0), (seen, 1), (lost, 2), (word, 3)];
             events.sort_unstable();
             let mut events = events.into_iter().peekable();
             for now in (0..6000).step_by(50) {
                 while let Some((_, event)) = events.next_if(|(at, _)| *at <= now) {
                     match event {
-                        0 => election.found(),
-                        2 => election.lost(now),
-                        3 => election.alive(now),
+                        0 => election.on_owner_connected(),
+                        2 => election.on_owner_disconnected(now),
+                        3 => election.on_owner_heartbeat(now),
                         _ => {}
                     }
                 }
-                election.observe(if now < seen { 69 } else { 70 }, now);
-                if now >= seen && election.due(row.as_ref(), now, now, false) {
+                election.observe_row(if now < seen { 69 } else { 70 }, now);
+                if now >= seen && election.should_claim(row.as_ref(), now, now, false) {
                     soonest = soonest.min(now - seen);
                     break;
                 }
@@ -239,11 +239,11 @@
 #[test]
 fn an_owner_that_says_nothing_is_not_replaced_by_an_entry_that_does_not_hear_the_table() {
     let row = owner("b", 1);
-    let mut election = Election::open("a", 1, 1700);
-    election.found();
-    election.observe(70, 1000);
-    election.alive(1000);
+    let mut election = Election::new("a", 1, 1700);
+    election.on_owner_connected();
+    election.observe_row(70, 1000);
+    election.on_owner_heartbeat(1000);
     let told = [(1000, 5000), (1699, 5000), (1700, 5000)]
-        .map(|(heard, now)| election.due(row.as_ref(), heard, now, false));
+        .map(|(heard, now)| election.should_claim(row.as_ref(), heard, now, false));
     assert_snapshot!(format!("{told:?}"), @"[false, false, true]");
 }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -44,9 +44,9 @@
     let mut bed = Bed::open(2, 2);
     bed.events = EVENTS.to_vec();
     bed.owner.job("old", job(0, vec![step(1, 8)]), 50, None);
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
+    bed.owner.set_evacuation(&zones(&["a"]), bed.now);
     bed.pass(300);
-    let unheard = format!("{}\n{:?}", bed.logged(), bed.owner.evacuated());
+    let unheard = format!("{}\n{:?}", bed.logged(), bed.owner.evacuation_counts());
     for number in 0..2 {
         bed.link(number);
         report(&mut bed, number, &[run(task("old", 0, 0), 1)][number as usize..]);
@@ -58,7 +58,7 @@
     report(&mut bed, 0, &[]);
     bed.notice(0, Notice::Stopped { task: task("old", 0, 0), run: 1 });
     bed.live(1000, 2);
-    let empty = format!("{}\n{:?}", bed.logged(), bed.owner.evacuated());
+    let empty = format!("{}\n{:?}", bed.logged(), bed.owner.evacuation_counts());
     assert_snapshot!(format!("{unheard}\n--\n{busy}\n--\n{empty}"), @r#"
     zone evacuated a: 0 workers take nothing new, 0 runs go on, as far as is known yet
     (1, 1)
@@ -75,7 +75,7 @@
 #[test]
 fn gangs_begin_in_the_racks_of_the_zones_that_are_left() {
     let mut bed = open(6);
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
+    bed.owner.set_evacuation(&zones(&["a"]), bed.now);
     bed.step();
     bed.told();
     let gang = Step { gang: true, same_rack: true, ..step(3, 8) };
@@ -95,7 +95,7 @@
     let team = Team { name: "t".into(), guaranteed: 8 };
     let teams = [("t".to_owned(), team)].into();
     bed.owner.configure(&Config { version: 1, teams, ..Config::default() });
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
+    bed.owner.set_evacuation(&zones(&["a"]), bed.now);
     bed.owner.job("other", Job { team: "o".into(), ..job(1, vec![step(1, 8)]) }, 150, None);
     bed.step();
     report(&mut bed, 2, &[run(task("other", 0, 0), 1)]);
@@ -115,8 +115,8 @@
     let gang = Step { gang: true, ..step(3, 8) };
     bed.owner.job("gang", job(0, vec![gang]), 150, None);
     bed.step();
-    bed.owner.unlinked(0);
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
+    bed.owner.on_disconnected(0);
+    bed.owner.set_evacuation(&zones(&["a"]), bed.now);
     bed.step();
     bed.told();
     bed.link(0);
@@ -136,7 +136,7 @@
     let mut bed = open(2);
     let settings = Settings { evacuation_deadline: Some(5000), ..Settings::default() };
     bed.owner.tune(settings);
-    bed.owner.evacuate(&zones(&[]), bed.now);
+    bed.owner.set_evacuation(&zones(&[]), bed.now);
     bed.live(3600, 2);
     bed.owner.job("before", job(0, vec![step(1, 1)]), 150, None);
     bed.step();
@@ -145,10 +145,10 @@
     bed.owner.job("after", job(0, vec![step(1, 1)]), 160, None);
     bed.live(2000, 2);
     let unheard = bed.told();
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
+    bed.owner.set_evacuation(&zones(&["a"]), bed.now);
     bed.step();
     let evacuated = bed.told();
-    bed.owner.evacuate(&zones(&[]), bed.now);
+    bed.owner.set_evacuation(&zones(&[]), bed.now);
     bed.step();
     let told = format!("{before}\n--\n{unheard}\n--\n{evacuated}\n--\n{}", bed.told());
     assert_snapshot!(format!("{told}\n--\n{}", bed.logged()), @r#"
@@ -188,9 +188,9 @@
 #[test]
 fn an_agent_that_missed_the_end_of_an_evacuation_is_told_when_it_is_back() {
     let mut bed = open(2);
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
-    bed.owner.unlinked(0);
-    bed.owner.evacuate(&zones(&[]), bed.now);
+    bed.owner.set_evacuation(&zones(&["a"]), bed.now);
+    bed.owner.on_disconnected(0);
+    bed.owner.set_evacuation(&zones(&[]), bed.now);
     bed.drain();
     bed.told();
     bed.link(0);
@@ -203,7 +203,7 @@
 #[test]
 fn an_owner_that_knows_of_no_evacuation_tells_agents_nothing() {
     let mut owner = Owner::open(Settings::default(), 1, 1, 0);
-    owner.evacuate(&zones(&[]), 5);
-    owner.linked("w0", 0, 10);
+    owner.set_evacuation(&zones(&[]), 5);
+    owner.on_connected("w0", 0, 10);
     assert_eq!(owner.outputs().len(), 1);
 }
--- a/crates/dispatch/tests/former.rs
+++ b/crates/dispatch/tests/former.rs
@@ -69,7 +69,7 @@
     let written = WRITTEN;
     let mut former = Owner::open(Settings::default(), 1, 1, 9_000);
     for number in 0..3 {
-        former.linked(&format!("w{number}"), number, 9_000);
+        former.on_connected(&format!("w{number}"), number, 9_000);
         let running = if number == 0 { vec![run(task("old", 0, 0), 1)] } else { Vec::new() };
         former.notice(number, status(number, 9_000, &running), 9_000);
     }
@@ -80,7 +80,7 @@
     bed.owner = Owner::open(Settings::default(), 2, bed::CLAIM, claimed);
     bed.owner.job("old", job(1, vec![step(1, 1)]), 50, None);
     for number in 0..3 {
-        bed.owner.agent(&format!("w{number}"), claimed);
+        bed.owner.add_agent(&format!("w{number}"), claimed);
     }
     let (mut granted, mut started) = (0, 0);
     for now in (9_100..25_000).step_by(100) {
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -24,7 +24,7 @@
 #[test]
 fn a_second_connection_replaces_the_first() {
     let mut bed = Bed::open(1, 1).idle(1);
-    bed.owner.linked("w0", 9, bed.now);
+    bed.owner.on_connected("w0", 9, bed.now);
     bed.step();
     assert_snapshot!(bed.told(), @r"close 0");
 }
@@ -36,11 +36,11 @@
     let mut bed = Bed::open(1, 1).idle(1);
     bed.owner.job("a", job(1, vec![step(1, 1)]), 150, None);
     bed.step();
-    bed.owner.unlinked(0);
+    bed.owner.on_disconnected(0);
     bed.link(0);
     bed.status(0, &[], &[]);
     let again = bed.told();
-    bed.owner.unlinked(0);
+    bed.owner.on_disconnected(0);
     bed.link(0);
     bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
     assert_snapshot!(format!("{again}\n-- it runs\n{}", bed.told()), @r"
@@ -93,7 +93,7 @@
         bed.notice(1, Notice::Ping { stamp: bed.now, silent: 0 });
         bed.notice(0, Notice::Ping { stamp: bed.now, silent });
     }
-    bed.owner.unlinked(0);
+    bed.owner.on_disconnected(0);
     let mut again = String::new();
     while again.is_empty() && bed.now < begin + 20_000 {
         bed.pass(100);
--- a/crates/dispatch/tests/lives.rs
+++ b/crates/dispatch/tests/lives.rs
@@ -52,7 +52,7 @@
 
 /// The list comes, on one page and whole, and says what was ordered then.
 fn listed(bed: &mut Bed, workers: &[&str]) -> String {
-    bed.owner.machines(machines(workers), true, 1, bed.now);
+    bed.owner.on_machines(machines(workers), true, 1, bed.now);
     bed.step();
     bed.told()
 }
@@ -78,7 +78,7 @@
 #[test]
 fn a_worker_that_is_still_listed_is_waited_for_until_its_lease_is_over() {
     let mut bed = running();
-    bed.owner.unlinked(0);
+    bed.owner.on_disconnected(0);
     let begin = bed.now;
     let mut told = Vec::new();
     while bed.now < begin + 7000 {
@@ -87,7 +87,7 @@
         let lines = bed.told();
         let lines = lines.lines().filter(|line| *line != "nothing");
         told.extend(lines.map(|line| format!("{} ms: {line}", bed.now - begin)));
-        bed.owner.machines(machines(&["i0", "i1"]), true, 1, bed.now);
+        bed.owner.on_machines(machines(&["i0", "i1"]), true, 1, bed.now);
     }
     assert_snapshot!(told.join("\n"), @r"
     100 ms: list
@@ -109,16 +109,16 @@
     refuse(&mut bed);
     bed.pass(100);
     bed.told();
-    bed.owner.machines(machines(&["", "i1"]), true, 1, before);
-    bed.owner.machines(machines(&["", "i1"]), false, 1, bed.now);
-    bed.owner.machines(Vec::new(), true, 1, bed.now);
+    bed.owner.on_machines(machines(&["", "i1"]), true, 1, before);
+    bed.owner.on_machines(machines(&["", "i1"]), false, 1, bed.now);
+    bed.owner.on_machines(Vec::new(), true, 1, bed.now);
     bed.step();
     let none = bed.told();
     // Pages that were made one after the other must agree.
-    bed.owner.machines(machines(&["", "i1"]), true, 2, bed.now);
+    bed.owner.on_machines(machines(&["", "i1"]), true, 2, bed.now);
     bed.step();
     let once = bed.told();
-    bed.owner.machines(machines(&["", "i1"]), true, 2, bed.now);
+    bed.owner.on_machines(machines(&["", "i1"]), true, 2, bed.now);
     bed.step();
     assert_snapshot!(format!("{none}\n{once}\n{}", bed.told()), @r"
     nothing
@@ -161,7 +161,7 @@
         let lines: Vec<&str> = lines.lines().filter(|line| *line != "nothing").collect();
         told.extend(lines.iter().map(|line| format!("{} ms: {line}", bed.now - begin)));
         if lines.contains(&"list") {
-            bed.owner.machines(machines(&["i0", "i1", ""]), true, 1, bed.now);
+            bed.owner.on_machines(machines(&["i0", "i1", ""]), true, 1, bed.now);
         }
     }
     assert_snapshot!(told.join("\n"), @r"
@@ -180,7 +180,7 @@
         for number in 0..2 {
             bed.notice(number, Notice::Ping { stamp: bed.now, silent: 0 });
         }
-        bed.owner.machines(machines(&["i0", "i1", "i2"]), true, 1, bed.now);
+        bed.owner.on_machines(machines(&["i0", "i1", "i2"]), true, 1, bed.now);
         told += &bed.told().replace("list", "").replace("nothing", "");
     }
     let settled = |owner: &Owner| owner.is_settled();
@@ -202,9 +202,9 @@
     let worker = Some(quincewheel_job::Worker { id: "j0".into(), ..bed::worker(0) });
     bed.notice(0, Notice::Status { stamp, worker, fenced: false, running, ended });
     bed.told();
-    bed.owner.machines(machines(&["", "i1"]), true, 1, asked);
+    bed.owner.on_machines(machines(&["", "i1"]), true, 1, asked);
     bed.step();
-    assert_snapshot!(format!("{:?}", bed.record().gone), @"[]");
+    assert_snapshot!(format!("{:?}", bed.record().departed), @"[]");
 }
 
 // Symptom: tasks run twice for some 70 ms after a change of owner. Sequence: a worker is taken
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -19,7 +19,7 @@
 fn gone(bed: &mut Bed) -> String {
     let batch = bed.record();
     bed.told();
-    format!("{:?}", batch.gone)
+    format!("{:?}", batch.departed)
 }
 
 // Symptom: after each change of owner older jobs stand still for 6 s. Sequence: a
@@ -28,7 +28,7 @@
 #[test]
 fn an_agent_that_is_gone_is_no_member_once_its_leases_have_lapsed() {
     let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.unlinked(1);
+    bed.owner.on_disconnected(1);
     pass(&mut bed, 8500, &[0]);
     let before = gone(&mut bed);
     pass(&mut bed, 500, &[0]);
@@ -40,7 +40,7 @@
 #[test]
 fn an_agent_that_comes_back_in_time_stays_a_member() {
     let mut bed = Bed::open(1, 2).idle(2);
-    bed.owner.unlinked(1);
+    bed.owner.on_disconnected(1);
     pass(&mut bed, 5000, &[0]);
     bed.link(1);
     bed.status(1, &[], &[]);
@@ -58,7 +58,7 @@
     bed.notice(1, none);
     pass(&mut bed, 9000, &[0, 1]);
     let batch = bed.record();
-    assert_snapshot!(format!("{:?}\n{}", batch.gone, bed.told()), @r#"
+    assert_snapshot!(format!("{:?}\n{}", batch.departed, bed.told()), @r#"
     ["w1"]
     close 1
     "#);
--- a/crates/dispatch/tests/mirror.rs
+++ b/crates/dispatch/tests/mirror.rs
@@ -77,13 +77,13 @@
     mirror.apply(&put(rows::progress_key("a"), 2, &ended(State::Failed)));
     mirror.apply(&put(rows::cancellation_key("c"), 3, &()));
     let told = [
-        mirror.expired(1000, 500, 5),
-        mirror.expired(1499, 500, 5),
-        mirror.expired(1500, 500, 5),
-        mirror.expired(1500, 500, 1),
+        mirror.expired_jobs(1000, 500, 5),
+        mirror.expired_jobs(1499, 500, 5),
+        mirror.expired_jobs(1500, 500, 5),
+        mirror.expired_jobs(1500, 500, 1),
     ];
     mirror.apply(&Change { key: rows::job_key("a"), version: 4, value: None });
-    assert_snapshot!(format!("{told:?} {:?}", mirror.expired(9000, 500, 5)), @r#"[[], [], ["a", "c"], ["a"]] ["c"]"#);
+    assert_snapshot!(format!("{told:?} {:?}", mirror.expired_jobs(9000, 500, 5)), @r#"[[], [], ["a", "c"], ["a"]] ["c"]"#);
 }
 
 // Symptom: a client is told that its job has ended, then that it runs. Sequence: all
@@ -176,8 +176,8 @@
     };
     let gone = Change { key: rows::node_key("agent-1"), version: 10, value: None };
     let changes = [node(8), gone.clone(), node(12)];
-    let first = mirror.follow(&changes, 12).len();
-    let late = mirror.follow(&[gone], 10);
+    let first = mirror.apply_changes(&changes, 12).len();
+    let late = mirror.apply_changes(&[gone], 10);
     assert_snapshot!(
         format!("{first} {late:?} {} {}", mirror.nodes.len(), mirror.version),
         @"3 [] 1 12"
--- a/crates/dispatch/tests/pool/mod.rs
+++ b/crates/dispatch/tests/pool/mod.rs
@@ -97,7 +97,7 @@
         self.bed.owner = Owner::open(*SETTINGS, epoch, CLAIM * epoch, now);
         self.bed.owner.former_ended();
         for number in 0..self.lives.len() as u64 {
-            self.bed.owner.agent(&format!("w{number}"), now);
+            self.bed.owner.add_agent(&format!("w{number}"), now);
         }
         for (name, job) in jobs {
             let progress = self.recorded.get(name).cloned();
@@ -124,7 +124,7 @@
             for (_, number) in back {
                 self.lives[number as usize] += 1;
                 // One that was dismissed announces itself first.
-                self.bed.owner.agent(&format!("w{number}"), now);
+                self.bed.owner.add_agent(&format!("w{number}"), now);
                 self.bed.link(number);
                 self.report(number);
             }
@@ -135,8 +135,8 @@
             self.bed.owner.confirm(now);
             self.bed.owner.tick(now, now);
             self.carry_out();
-            if let Some(batch) = self.bed.owner.record() {
-                self.bed.owner.recorded(&batch, self.writes);
+            if let Some(batch) = self.bed.owner.next_batch() {
+                self.bed.owner.on_recorded(&batch, self.writes);
                 if self.writes {
                     self.recorded.extend(batch.jobs);
                 }
@@ -206,7 +206,7 @@
             ..Machine::default()
         };
         let machines = (0..self.lives.len() as u64).map(machine).collect();
-        self.bed.owner.machines(machines, true, 1, self.bed.now);
+        self.bed.owner.on_machines(machines, true, 1, self.bed.now);
     }
 
     /// How often a job's tasks were started, and whether it has ended.
--- a/crates/dispatch/tests/recalled.rs
+++ b/crates/dispatch/tests/recalled.rs
@@ -23,12 +23,12 @@
     let none = Notice::Status { stamp: 0, worker: None, fenced: false, running, ended };
     bed.notice(1, Notice::Left { worker: "i1".into() });
     bed.notice(1, none);
-    let batch = bed.owner.record().unwrap_or_default();
+    let batch = bed.owner.next_batch().unwrap_or_default();
     // The feed tells of the drop, and then of the agent's new row.
-    bed.owner.unlisted("w1");
+    bed.owner.on_row_removed("w1");
     bed.told();
-    bed.owner.agent("w1", bed.now);
-    bed.owner.linked("w1", 2, bed.now);
+    bed.owner.add_agent("w1", bed.now);
+    bed.owner.on_connected("w1", 2, bed.now);
     let status = |running: &[_], stamp| Notice::Status {
         stamp,
         worker: Some(Worker { id: "i1b".into(), ..worker(1) }),
@@ -41,7 +41,7 @@
     bed.pass(100);
     bed.notice(2, status(&[run(task("a", 0, 1), 1)], bed.now));
     let began = bed.told().contains("w2 start a.0.0.1");
-    bed.owner.recorded(&batch, true);
+    bed.owner.on_recorded(&batch, true);
     bed.pass(100);
     let told = bed.told();
     bed.owner.notice(2, Notice::Ping { stamp: bed.now, silent: 0 }, bed.now);
@@ -50,7 +50,7 @@
         .outputs()
         .iter()
         .any(|output| matches!(output, Output::Send { link: 2, order: Order::Grant { .. } }));
-    let gone = batch.gone.join(" ");
+    let gone = batch.departed.join(" ");
     assert_snapshot!(
         format!("dropped {gone}, began there {began}\n-- answer\n{told}, granted {granted}"),
         @r"
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -117,7 +117,7 @@
     report(&mut bed, 2, &[], &[]);
     bed.told();
     let good = [("i0".to_owned(), "ticket".to_owned())];
-    bed.owner.advised(&question, Some((&good, 60_000)), bed.now, bed.now);
+    bed.owner.on_clearance(&question, Some((&good, 60_000)), bed.now, bed.now);
     bed.step();
     assert_snapshot!(bed.told(), @"ask i0 born 2");
 }
--- a/crates/dispatch/tests/rowless.rs
+++ b/crates/dispatch/tests/rowless.rs
@@ -17,7 +17,7 @@
     let mut bed = Bed::open(1, 1).idle(1);
     bed.step();
     bed.notice(0, Notice::Left { worker: "i0".into() });
-    let gone = bed.record().gone;
+    let gone = bed.record().departed;
     bed.told();
     // The dial that follows within 100 ms, and the worker's next life.
     bed.link(0);
@@ -26,7 +26,7 @@
     bed.pass(1000);
     let before = bed.told();
     // Its row is read again.
-    bed.owner.agent("w0", bed.now);
+    bed.owner.add_agent("w0", bed.now);
     bed.link(0);
     bed.status(0, &[], &[]);
     assert_snapshot!(format!("{gone:?}\n{before}\n-- announced\n{}", bed.told()), @r#"
@@ -46,8 +46,8 @@
     bed.step();
     bed.notice(0, Notice::Left { worker: "i0".into() });
     bed.record();
-    bed.owner.agent("w0", bed.now);
-    bed.owner.unlisted("w0");
+    bed.owner.add_agent("w0", bed.now);
+    bed.owner.on_row_removed("w0");
     bed.told();
     bed.link(0);
     bed.status(0, &[], &[]);
--- a/crates/dispatch/tests/saved.rs
+++ b/crates/dispatch/tests/saved.rs
@@ -22,7 +22,7 @@
         bed.pass(ms);
         listed(&mut bed, saved);
         let batch = bed.record();
-        told.push(serde_json::to_string(&batch.saved).unwrap());
+        told.push(serde_json::to_string(&batch.checkpoints).unwrap());
     }
     bed.told();
     (bed, told)
@@ -52,7 +52,7 @@
     let batch = before.record();
     let mut bed = Bed::open(2, 1);
     bed.owner.job("a", job(1, vec![saving]), 50, None);
-    for (id, saved) in &batch.saved {
+    for (id, saved) in &batch.checkpoints {
         bed.owner.restore(id, saved);
     }
     bed.link(0);
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -106,7 +106,7 @@
         ..Ownership::default()
     };
     let seen = [("a", true), ("a", false), ("", true), ("", false), ("b", true)];
-    let ended = seen.map(|(holder, settled)| row(holder, settled).has_ended("a"));
+    let ended = seen.map(|(holder, settled)| row(holder, settled).grants_ended("a"));
     assert_eq!(ended, [true, false, true, false, false]);
 }
 
--- a/crates/dispatch/tests/unproven.rs
+++ b/crates/dispatch/tests/unproven.rs
@@ -17,12 +17,12 @@
     unproven.add("b", 9);
     let mut told = Vec::new();
     for version in [6, 7, 8, 8, 12] {
-        told.push(format!("write {version}: {:?}", unproven.prove(version)));
+        told.push(format!("write {version}: {:?}", unproven.confirm(version)));
     }
     // The write after the claim of another does not succeed.
     unproven.add("c", 13);
     unproven.clear();
-    told.push(format!("after a claim: {:?}, empty {}", unproven.prove(20), unproven.is_empty()));
+    told.push(format!("after a claim: {:?}, empty {}", unproven.confirm(20), unproven.is_empty()));
     assert_snapshot!(told.join("\n"));
 }
 
--- a/crates/dispatch/tests/unsettled.rs
+++ b/crates/dispatch/tests/unsettled.rs
@@ -10,15 +10,15 @@
 #[test]
 fn a_write_without_an_answer_is_remembered_until_the_row_is_seen() {
     let mut unsettled = UnansweredWrites::default();
-    unsettled.note("a", 1000);
-    unsettled.note("b", 2000);
-    unsettled.settle("b");
+    unsettled.record("a", 1000);
+    unsettled.record("b", 2000);
+    unsettled.resolve("b");
     let told = [
-        unsettled.holds("a", 1000),
-        unsettled.holds("a", 100_000),
-        unsettled.holds("a", 121_000),
-        unsettled.holds("b", 2000),
-        unsettled.holds("c", 2000),
+        unsettled.contains("a", 1000),
+        unsettled.contains("a", 100_000),
+        unsettled.contains("a", 121_000),
+        unsettled.contains("b", 2000),
+        unsettled.contains("c", 2000),
     ];
     assert_snapshot!(format!("{told:?}"), @"[true, true, false, false, false]");
 }
@@ -27,8 +27,8 @@
 fn a_flood_of_them_stays_bounded() {
     let mut unsettled = UnansweredWrites::default();
     for number in 0..10_001 {
-        unsettled.note(&format!("{number}"), number);
+        unsettled.record(&format!("{number}"), number);
     }
-    let told = [unsettled.holds("0", 10_001), unsettled.holds("1", 10_001)];
+    let told = [unsettled.contains("0", 10_001), unsettled.contains("1", 10_001)];
     assert_snapshot!(format!("{told:?}"), @"[false, true]");
 }
--- a/crates/dispatch/tests/upkeep.rs
+++ b/crates/dispatch/tests/upkeep.rs
@@ -22,7 +22,7 @@
         worker: format!("i{number}"),
     };
     let machines = conditions.iter().enumerate().map(machine).collect();
-    bed.owner.machines(machines, true, 1, bed.now);
+    bed.owner.on_machines(machines, true, 1, bed.now);
 }
 
 /// What a former owner recorded.
@@ -45,7 +45,7 @@
 fn begun(duration: u64) -> Bed {
     let mut bed = Bed::open(1, 3).idle(3);
     pass(&mut bed, 3000, 3);
-    bed.owner.wave(&wave(3, 1, duration), None, bed.now);
+    bed.owner.add_wave(&wave(3, 1, duration), None, bed.now);
     list(&mut bed, &[Condition::Up; 3]);
     bed
 }
@@ -59,7 +59,7 @@
         [("m0", [Maintained, Up, Up]), ("m1", [Up, Maintained, Up]), ("m2", [Up, Up, Maintained])]
     {
         bed.step();
-        bed.owner.taken(1, machine, TakeDownResult::Begun, bed.now);
+        bed.owner.on_take_down(1, machine, TakeDownResult::Begun, bed.now);
         pass(&mut bed, 500, 3);
         list(&mut bed, &during);
         pass(&mut bed, 500, 3);
@@ -88,7 +88,7 @@
     let mut bed = begun(60_000);
     bed.step();
     let first = bed.told();
-    bed.owner.taken(1, "m0", TakeDownResult::Unclear, bed.now);
+    bed.owner.on_take_down(1, "m0", TakeDownResult::Unclear, bed.now);
     list(&mut bed, &[Condition::Up; 3]);
     pass(&mut bed, 1000, 3);
     let waiting = bed.told();
@@ -112,7 +112,7 @@
     bed.step();
     bed.status(0, &[run(task("a", 0, 0), 1)], &[]);
     bed.told();
-    bed.owner.wave(&wave(1, 1, 10_000), None, bed.now);
+    bed.owner.add_wave(&wave(1, 1, 10_000), None, bed.now);
     list(&mut bed, &[Condition::Up]);
     bed.step();
     bed.owner.job("b", job(1, vec![step(1, 1)]), 151, None);
@@ -142,11 +142,11 @@
     bed.status(0, &[at_work(0)], &[]);
     bed.status(1, &[at_work(1)], &[]);
     bed.told();
-    bed.owner.wave(&wave(2, 2, 60_000), None, bed.now);
+    bed.owner.add_wave(&wave(2, 2, 60_000), None, bed.now);
     list(&mut bed, &[Condition::Up; 2]);
     bed.step();
     let first = bed.told();
-    bed.owner.taken(1, "m0", TakeDownResult::Begun, bed.now);
+    bed.owner.on_take_down(1, "m0", TakeDownResult::Begun, bed.now);
     bed.notice(0, Notice::Left { worker: "i0".into() });
     pass(&mut bed, 1000, 2);
     assert_snapshot!(format!("{first}\n-- one is away\n{}", bed.told()), @r"
@@ -162,7 +162,7 @@
 #[test]
 fn a_new_owner_gives_no_orders_to_machines_before_the_former_ones_turn_is_over() {
     let mut bed = Bed::open(2, 1).idle(1);
-    bed.owner.wave(&wave(1, 1, 60_000), Some(seen(false)), bed.now);
+    bed.owner.add_wave(&wave(1, 1, 60_000), Some(seen(false)), bed.now);
     list(&mut bed, &[Condition::Up]);
     pass(&mut bed, 2500, 1);
     let early = bed.told();
@@ -181,10 +181,10 @@
 fn a_machine_that_was_down_under_a_former_owner_goes_on_taking_work() {
     let mut bed = Bed::open(2, 1).idle(1);
     pass(&mut bed, 3000, 1);
-    bed.owner.wave(&wave(1, 1, 60_000), Some(seen(false)), bed.now);
+    bed.owner.add_wave(&wave(1, 1, 60_000), Some(seen(false)), bed.now);
     list(&mut bed, &[Condition::Up]);
     bed.step();
-    bed.owner.taken(1, "m0", TakeDownResult::Begun, bed.now);
+    bed.owner.on_take_down(1, "m0", TakeDownResult::Begun, bed.now);
     bed.told();
     bed.owner.job("a", job(1, vec![step(1, 8)]), 150, None);
     bed.step();
@@ -205,12 +205,12 @@
 fn a_wave_that_is_through_stays_so_under_a_later_owner() {
     let mut bed = begun(60_000);
     for number in 0..3 {
-        bed.owner.taken(1, &format!("m{number}"), TakeDownResult::Begun, bed.now);
+        bed.owner.on_take_down(1, &format!("m{number}"), TakeDownResult::Begun, bed.now);
     }
     pass(&mut bed, 500, 3);
     let recorded = bed.record().waves;
     let mut later = Bed::open(2, 1).idle(1);
-    later.owner.wave(&wave(1, 1, 60_000), Some(seen(true)), later.now);
+    later.owner.add_wave(&wave(1, 1, 60_000), Some(seen(true)), later.now);
     list(&mut later, &[Condition::Up]);
     pass(&mut later, 4000, 1);
     assert_snapshot!(format!("{recorded:?}\n{}", later.told()), @r"
@@ -226,18 +226,18 @@
 fn a_machine_whose_entry_cannot_be_read_is_not_taken_for_gone() {
     let mut bed = Bed::open(1, 2).idle(2);
     pass(&mut bed, 3000, 2);
-    bed.owner.wave(&wave(2, 2, 60_000), None, bed.now);
+    bed.owner.add_wave(&wave(2, 2, 60_000), None, bed.now);
     let first = Machine { name: "m0".into(), condition: Condition::Up, worker: "i0".into() };
-    bed.owner.machines(vec![first.clone()], false, 1, bed.now);
+    bed.owner.on_machines(vec![first.clone()], false, 1, bed.now);
     bed.step();
-    bed.owner.taken(1, "m0", TakeDownResult::Begun, bed.now);
+    bed.owner.on_take_down(1, "m0", TakeDownResult::Begun, bed.now);
     pass(&mut bed, 500, 2);
     let unread = bed.told();
     list(&mut bed, &[Condition::Maintained, Condition::Up]);
     bed.step();
-    bed.owner.taken(1, "m1", TakeDownResult::Begun, bed.now);
+    bed.owner.on_take_down(1, "m1", TakeDownResult::Begun, bed.now);
     // Known before, m1 holds beside an entry that cannot be read.
-    bed.owner.machines(vec![first], false, 1, bed.now);
+    bed.owner.on_machines(vec![first], false, 1, bed.now);
     bed.step();
     assert_snapshot!(format!("{unread}\n--\n{}", bed.told()));
 }
--- a/crates/dispatch/tests/waits.rs
+++ b/crates/dispatch/tests/waits.rs
@@ -147,7 +147,7 @@
     bed.live(1000, 2);
     let asked = bed.logged();
     let question = bed.questions.remove(0);
-    bed.owner.advised(&question, Some((&[], 5000)), bed.now, bed.now);
+    bed.owner.on_clearance(&question, Some((&[], 5000)), bed.now, bed.now);
     bed.live(2000, 2);
     assert_snapshot!(format!("{asked}\n-- answered\n{}", bed.logged()), @r"
     waits a: a.0.0, 1 tasks, 1000 ms: no clearance: a question is out; may not run at 0, cleared for 0
@@ -169,7 +169,7 @@
 #[test]
 fn workers_that_are_not_open_are_named_with_the_reason() {
     let mut bed = open(3);
-    bed.owner.unlinked(0);
+    bed.owner.on_disconnected(0);
     bed.notice(1, Notice::Ping { stamp: bed.now, silent: 3500 });
     add(&mut bed, "a", 150, job(1, vec![step(3, 8)]));
     for _ in 0..10 {
--- a/crates/entry/src/site/advise.rs
+++ b/crates/entry/src/site/advise.rs
@@ -37,7 +37,7 @@
     if let Some(owner) = shared.owner.borrow_mut().as_mut() {
         let answer = answer.as_ref().ok();
         let told = answer.map(|cleared| (cleared.tickets.as_slice(), cleared.valid));
-        owner.advised(question, told, sent, now);
+        owner.on_clearance(question, told, sent, now);
     }
     step(shared);
 }
--- a/crates/entry/src/site/calls.rs
+++ b/crates/entry/src/site/calls.rs
@@ -66,17 +66,17 @@
     let now = quincewheel_clock::boot();
     match answer {
         Answer::Accepted => {
-            shared.unsettled.borrow_mut().settle(id);
+            shared.unsettled.borrow_mut().resolve(id);
             Answer::Accepted
         }
-        Answer::Unavailable(_) if shared.unsettled.borrow().holds(id, now) => Answer::Unclear,
+        Answer::Unavailable(_) if shared.unsettled.borrow().contains(id, now) => Answer::Unclear,
         answer => answer,
     }
 }
 
 async fn decide(shared: &Shared, work: &Work, target: &Target) -> Answer {
     match &target.call {
-        Call::Waiting => Answer::Waiting(shared.mirror.borrow().waiting(&target.queue.name)),
+        Call::Waiting => Answer::Waiting(shared.mirror.borrow().queued_jobs(&target.queue.name)),
         Call::State { id } => tell_state(shared, target, id).await,
         Call::Cancel { id } => cancel(shared, target, id).await,
         Call::Submit { id } => match &work.body {
@@ -174,16 +174,16 @@
     let begun = quincewheel_clock::boot();
     loop {
         let now = quincewheel_clock::boot();
-        let unsettled = shared.unsettled.borrow().holds(id, now);
+        let unsettled = shared.unsettled.borrow().contains(id, now);
         let result = match unsettled {
             true => attempt(shared, commit).await,
             false => write(shared, commit).await,
         };
         if matches!(result, Err(Error::Unclear { .. })) {
-            shared.unsettled.borrow_mut().note(id, now);
+            shared.unsettled.borrow_mut().record(id, now);
         }
         let open = matches!(result, Err(Error::Unclear { .. } | Error::Refused { .. }))
-            && shared.unsettled.borrow().holds(id, now);
+            && shared.unsettled.borrow().contains(id, now);
         if !open || quincewheel_clock::boot() + TIMEOUT.as_millis() as u64 > begun + SETTLE {
             return result;
         }
--- a/crates/entry/src/site/follow.rs
+++ b/crates/entry/src/site/follow.rs
@@ -175,13 +175,13 @@
     let mut mirror = shared.mirror.borrow_mut();
     let mut news = match whole {
         true => mirror.reload(&changes.rows, changes.version),
-        false => mirror.follow(&changes.rows, changes.version),
+        false => mirror.apply_changes(&changes.rows, changes.version),
     };
     shared.heard.set(now);
     let mut election = shared.election.borrow_mut();
     match &mirror.owner {
-        Some((_, version)) => election.observe(*version, now),
-        None => election.unowned(now),
+        Some((_, version)) => election.observe_row(*version, now),
+        None => election.on_unowned(now),
     }
     drop(election);
     drop(mirror);
@@ -209,12 +209,12 @@
             }
             let agent = node.is_some_and(|node| !node.entry);
             if let Some(owner) = owner.as_mut().filter(|_| agent) {
-                owner.agent(&name, now);
+                owner.add_agent(&name, now);
             }
         }
         RowEvent::NodeRemoved(name) => {
             if let Some(owner) = owner.as_mut() {
-                owner.unlisted(&name);
+                owner.on_row_removed(&name);
             }
         }
         RowEvent::JobCancelled(id) => {
--- a/crates/entry/src/site/handover.rs
+++ b/crates/entry/src/site/handover.rs
@@ -62,7 +62,7 @@
     let mirror = shared.mirror.borrow();
     let entries = shared.entries.borrow();
     let mut links: Vec<(usize, LinkId)> =
-        entries.iter().map(|(name, link)| (mirror.place(name), *link)).collect();
+        entries.iter().map(|(name, link)| (mirror.candidate_rank(name), *link)).collect();
     links.sort_unstable();
     links.into_iter().map(|(_, link)| link).collect()
 }
@@ -113,7 +113,7 @@
         let value = Some(row.value.clone());
         mirror.apply(&Change { key: row.key.clone(), version, value });
     }
-    shared.election.borrow_mut().call(version);
+    shared.election.borrow_mut().on_handover(version);
     shared.wake.notify_one();
 }
 
--- a/crates/entry/src/site/links.rs
+++ b/crates/entry/src/site/links.rs
@@ -31,7 +31,7 @@
     for (name, node) in &mirror.nodes {
         let linked = match node.entry {
             true => *name == shared.settings.name || shared.entries.borrow().contains_key(name),
-            false => owner.is_linked(name),
+            false => owner.is_connected(name),
         };
         if linked {
             dials.forget(&node.address);
@@ -88,7 +88,7 @@
         Peer::Alive => {
             let owner = shared.from_owner.borrow().as_ref().map(|(known, _)| *known);
             if owner == Some(link) {
-                shared.election.borrow_mut().alive(quincewheel_clock::boot());
+                shared.election.borrow_mut().on_owner_heartbeat(quincewheel_clock::boot());
             }
         }
         Peer::Accepted { id, version, job } => news::hear_accepted(shared, &id, job, version),
@@ -122,7 +122,7 @@
     let mut owner = shared.owner.borrow_mut();
     match (hello.role, owner.as_mut()) {
         (Role::Entry, _) if inbound => {
-            shared.election.borrow_mut().found();
+            shared.election.borrow_mut().on_owner_connected();
             *shared.from_owner.borrow_mut() = Some((link, hello.name.clone()));
         }
         (Role::Entry, Some(_)) => {
@@ -132,7 +132,7 @@
             }
         }
         (Role::Agent, Some(owner)) if shared.mirror.borrow().nodes.contains_key(&hello.name) => {
-            owner.linked(&hello.name, link, now);
+            owner.on_connected(&hello.name, link, now);
         }
         (Role::Agent, Some(_)) => {
             // Its row was dropped while the connection was made. It announces
@@ -148,13 +148,13 @@
 fn unlinked(shared: &Site, link: LinkId, now: u64) {
     shared.entries.borrow_mut().retain(|_, known| *known != link);
     if let Some(owner) = shared.owner.borrow_mut().as_mut() {
-        owner.unlinked(link);
+        owner.on_disconnected(link);
     }
     let from = shared.from_owner.borrow_mut().take_if(|(known, _)| *known == link);
     let mirror = shared.mirror.borrow();
     let holder = mirror.owner.as_ref().map(|(owner, _)| &owner.holder);
     if from.is_some_and(|(_, name)| Some(&name) == holder) {
-        shared.election.borrow_mut().lost(now);
+        shared.election.borrow_mut().on_owner_disconnected(now);
         shared.unowned.notify_one();
     }
 }
--- a/crates/entry/src/site/looks.rs
+++ b/crates/entry/src/site/looks.rs
@@ -50,7 +50,7 @@
 /// Answers another entry once what this one knows is recorded.
 pub(crate) async fn answer(shared: Shared, link: LinkId, number: u64, id: Id) {
     recorded(&shared, &id).await;
-    let progress = shared.mirror.borrow().jobs.get(&id).and_then(|view| view.recorded());
+    let progress = shared.mirror.borrow().jobs.get(&id).and_then(|view| view.recorded_progress());
     let frame = Sent::from(Peer::Found { number, id, progress });
     shared.hub.ask(Command::Send { link, frame });
 }
@@ -59,7 +59,7 @@
 pub(crate) fn found(shared: &Site, id: &str, progress: Option<(Progress, u64)>) {
     let mut mirror = shared.mirror.borrow_mut();
     if let (Some(view), Some((progress, version))) = (mirror.jobs.get_mut(id), progress) {
-        view.take_progress(progress, version);
+        view.update_progress(progress, version);
     }
 }
 
--- a/crates/entry/src/site/news.rs
+++ b/crates/entry/src/site/news.rs
@@ -58,7 +58,7 @@
 
 /// The table has performed a write of this owner that has this version.
 pub(crate) fn prove(shared: &Site, owner: &mut Owner, version: u64) {
-    let proven = shared.unproven.borrow_mut().prove(version);
+    let proven = shared.unproven.borrow_mut().confirm(version);
     let mirror = shared.mirror.borrow();
     for id in proven {
         tell_job(owner, &mirror, &id, quincewheel_clock::boot());
--- a/crates/entry/src/site/own.rs
+++ b/crates/entry/src/site/own.rs
@@ -84,14 +84,14 @@
     let draining = shared.gate.draining();
     let mirror = shared.mirror.borrow();
     let mut election = shared.election.borrow_mut();
-    election.stand(mirror.place(&shared.settings.name));
-    election.due(mirror.owner.as_ref(), heard, now, draining)
+    election.set_rank(mirror.candidate_rank(&shared.settings.name));
+    election.should_claim(mirror.owner.as_ref(), heard, now, draining)
 }
 
 /// Writes the ownership row, if it is still as it was seen.
 async fn claim(shared: &Site) {
     let seen = shared.mirror.borrow().owner.clone();
-    let ended = seen.as_ref().is_none_or(|(owner, _)| owner.has_ended(&shared.settings.name));
+    let ended = seen.as_ref().is_none_or(|(owner, _)| owner.grants_ended(&shared.settings.name));
     let (epoch, version) = seen.map_or((0, 0), |(owner, version)| (owner.epoch, version));
     let mine = Ownership {
         holder: shared.settings.name.clone(),
@@ -130,11 +130,11 @@
         owner.configure(config);
     }
     if let Some(zones) = shared.evacuation.borrow().as_ref() {
-        owner.evacuate(zones, shared.proved.get());
+        owner.set_evacuation(zones, shared.proved.get());
     }
     let mirror = shared.mirror.borrow();
     for (name, _) in mirror.nodes.iter().filter(|(_, node)| !node.entry) {
-        owner.agent(name, now);
+        owner.add_agent(name, now);
     }
     owner.remember(&mirror.times);
     for (id, view) in &mirror.jobs {
@@ -229,11 +229,11 @@
         current.configure(config);
     }
     if let Some(zones) = shared.evacuation.borrow().as_ref() {
-        current.evacuate(zones, shared.proved.get());
+        current.set_evacuation(zones, shared.proved.get());
     }
     add_waves(shared, current);
     current.tick(quincewheel_clock::boot(), quincewheel_clock::wall());
-    if current.urgent() {
+    if current.has_urgent_changes() {
         shared.unrecorded.notify_one();
     }
     let mut deposed = None;
@@ -242,7 +242,7 @@
             Output::Send { link, order } => {
                 if !shared.hub.ask(Command::Send { link, frame: Sent::Order(order) }) {
                     log::warn!(event = "hub full", link = link; "connection closed");
-                    current.unlinked(link);
+                    current.on_disconnected(link);
                     shared.hub.ask(Command::Close { link, reason: "too many orders wait" });
                 }
             }
@@ -275,7 +275,7 @@
     for (number, wave) in shared.waves.borrow().iter() {
         if !owner.knows_wave(*number) {
             let known = shared.mirror.borrow().waves.get(number).copied();
-            owner.wave(wave, known, quincewheel_clock::wall());
+            owner.add_wave(wave, known, quincewheel_clock::wall());
         }
     }
 }
--- a/crates/entry/src/site/record.rs
+++ b/crates/entry/src/site/record.rs
@@ -47,8 +47,8 @@
         let now = quincewheel_clock::boot();
         let wanted = shared.owner.borrow().as_ref().is_some_and(|owner| {
             let told = !shared.unproven.borrow().is_empty();
-            told || owner.urgent()
-                || (owner.unrecorded() && now >= last + GATHER)
+            told || owner.has_urgent_changes()
+                || (owner.has_unrecorded() && now >= last + GATHER)
                 || now >= last + RENEW
         });
         if !wanted {
@@ -57,7 +57,7 @@
             continue;
         }
         last = now;
-        let batch = shared.owner.borrow_mut().as_mut().and_then(Owner::record);
+        let batch = shared.owner.borrow_mut().as_mut().and_then(Owner::next_batch);
         write(&shared, &batch.unwrap_or_default()).await;
         step(&shared);
     }
@@ -77,13 +77,15 @@
         delete: Vec::new(),
     };
     let now = quincewheel_clock::boot();
-    let expired = shared.mirror.borrow_mut().expired(now, keep(shared), EXPIRED);
+    let expired = shared.mirror.borrow_mut().expired_jobs(now, keep(shared), EXPIRED);
     commit.delete.extend(expired.iter().flat_map(|id| rows::job_keys(id)));
     commit.put.extend(batch.times.as_ref().map(|times| put(TIMES_KEY.to_owned(), times)));
-    commit.put.extend(batch.saved.iter().map(|(id, saved)| put(rows::checkpoints_key(id), saved)));
+    commit
+        .put
+        .extend(batch.checkpoints.iter().map(|(id, saved)| put(rows::checkpoints_key(id), saved)));
     let seen = batch.waves.iter().map(|(number, seen)| put(rows::wave_key(*number), seen));
     commit.put.extend(seen);
-    commit.delete.extend(batch.gone.iter().map(|name| rows::node_key(name)));
+    commit.delete.extend(batch.departed.iter().map(|name| rows::node_key(name)));
     commit
         .put
         .extend(batch.jobs.iter().map(|(id, progress)| put(rows::progress_key(id), progress)));
@@ -147,18 +149,18 @@
     }
     *shared.held.borrow_mut() = Some((mine.clone(), version));
     owner.confirm(sent);
-    owner.recorded(batch, true);
+    owner.on_recorded(batch, true);
     news::prove(shared, owner, version);
     let mut mirror = shared.mirror.borrow_mut();
     shared.recorded.notify_waiters();
-    for name in batch.gone.iter().filter(|name| owner.is_dismissed(name)) {
+    for name in batch.departed.iter().filter(|name| owner.is_dismissed(name)) {
         // Nor is it dialled until the feed tells a new row.
         mirror.nodes.remove(name);
     }
     for (id, progress) in &batch.jobs {
         // The owner's own clients need not wait for the feed.
         if let Some(view) = mirror.jobs.get_mut(id) {
-            view.take_progress(progress.clone(), version);
+            view.update_progress(progress.clone(), version);
         }
     }
 }
--- a/crates/entry/src/site/state.rs
+++ b/crates/entry/src/site/state.rs
@@ -115,7 +115,7 @@
             table: Table::open(&settings.table, Rc::clone(&skip)),
             feed: Table::open(&settings.table, Rc::clone(&skip)),
             skip,
-            election: RefCell::new(Election::open(&settings.name, incarnation, PATIENCE)),
+            election: RefCell::new(Election::new(&settings.name, incarnation, PATIENCE)),
             bounds: Cell::new(settings.bounds),
             settings,
             incarnation,
@@ -205,6 +205,6 @@
         self.metrics.jobs.set(owner.as_ref().map_or(0, |owner| owner.active() as i64));
         self.metrics.waiting(&owner.as_ref().map(Owner::waiting).unwrap_or_default());
         self.metrics.unlisted(owner.as_ref().map_or(0, Owner::unlisted_runs));
-        self.metrics.evacuated(owner.as_ref().map(Owner::evacuated).unwrap_or_default());
+        self.metrics.evacuated(owner.as_ref().map(Owner::evacuation_counts).unwrap_or_default());
     }
 }
--- a/crates/entry/src/site/stores.rs
+++ b/crates/entry/src/site/stores.rs
@@ -59,7 +59,7 @@
         Ok(Ok(Peer::Stored { verdict, .. })) if verdict != Verdict::Unclear => verdict,
         _ => {
             // It may store the row yet: nothing may be called not accepted.
-            shared.unsettled.borrow_mut().note(id, quincewheel_clock::boot());
+            shared.unsettled.borrow_mut().record(id, quincewheel_clock::boot());
             Verdict::Unclear
         }
     }
--- a/crates/entry/src/site/upkeep.rs
+++ b/crates/entry/src/site/upkeep.rs
@@ -56,7 +56,7 @@
     match machines.list(TIMEOUT).await {
         Ok(listed) => {
             if let Some(owner) = shared.owner.borrow_mut().as_mut() {
-                owner.machines(listed.machines, listed.whole, listed.pages, sent);
+                owner.on_machines(listed.machines, listed.whole, listed.pages, sent);
             }
         }
         Err(error) => log::warn!(event = "machines"; "{error}"),
@@ -70,7 +70,7 @@
     let now = quincewheel_clock::boot();
     let mut owner = shared.owner.borrow_mut();
     if let Some(owner) = owner.as_mut().filter(|owner| owner.epoch() == epoch) {
-        owner.taken(wave, machine, taken, now);
+        owner.on_take_down(wave, machine, taken, now);
     }
 }
 
--- a/crates/runner/tests/repeated.rs
+++ b/crates/runner/tests/repeated.rs
@@ -23,7 +23,7 @@
     world.pass(1200);
     world.sides[0].mood = Mood::Refusing;
     world.pass(500);
-    world.owner.unlinked(0);
+    world.owner.on_disconnected(0);
     world.link(0);
     world.pass(1000);
     assert_snapshot!(format!("{}\n-- runs\n{}", world.told(), world.running().join("\n")), @r"
--- a/crates/runner/tests/world/mod.rs
+++ b/crates/runner/tests/world/mod.rs
@@ -54,7 +54,7 @@
     pub fn open(epoch: u64, workers: usize) -> World {
         let mut owner = Owner::open(self::bounds(), epoch, CLAIM, BEGIN);
         for number in 0..workers {
-            owner.agent(&format!("w{number}"), BEGIN);
+            owner.add_agent(&format!("w{number}"), BEGIN);
         }
         let sides = (0..workers).map(|_| Side::open()).collect();
         World {
@@ -84,9 +84,9 @@
         self.owner = Owner::open(self::bounds(), epoch, CLAIM * 10 * epoch, now);
         self.owner.former_ended();
         // It has read all rows.
-        self.owner.evacuate(&self.operators, now);
+        self.owner.set_evacuation(&self.operators, now);
         for number in 0..self.sides.len() {
-            self.owner.agent(&format!("w{number}"), now);
+            self.owner.add_agent(&format!("w{number}"), now);
         }
         for (name, job, version) in &self.jobs {
             let progress = self.recorded.get(name).cloned();
@@ -183,14 +183,14 @@
 
     /// The owner connects to an agent.
     pub fn link(&mut self, number: usize) {
-        self.owner.linked(&format!("w{number}"), number as u64, self.now);
+        self.owner.on_connected(&format!("w{number}"), number as u64, self.now);
     }
 
     /// An agent's process ends and starts anew; its worker runs on, and reports.
     pub fn restart(&mut self, number: usize) {
         self.sides[number].runner = Runner::open(Settings::default());
         self.sides[number].calls.clear();
-        self.owner.unlinked(number as u64);
+        self.owner.on_disconnected(number as u64);
         self.report(number);
         self.link(number);
     }
@@ -213,13 +213,13 @@
                 self.owner.confirm(self.now);
             }
             if self.reads {
-                self.owner.evacuate(&self.operators, self.now);
+                self.owner.set_evacuation(&self.operators, self.now);
             }
             self.owner.tick(self.now, self.now);
             if self.records
-                && let Some(batch) = self.owner.record()
+                && let Some(batch) = self.owner.next_batch()
             {
-                self.owner.recorded(&batch, true);
+                self.owner.on_recorded(&batch, true);
                 self.recorded.extend(batch.jobs);
             }
             self.exchange();
@@ -282,7 +282,7 @@
                 Output::Send { link, notice } => self.owner.notice(link, notice, now),
                 // The owner notices, and dials again within its next step.
                 Output::Close { link } => {
-                    self.owner.unlinked(link);
+                    self.owner.on_disconnected(link);
                     side.dial = true;
                 }
             }
