--- a/crates/dispatch/src/rows.rs
+++ b/crates/dispatch/src/rows.rs
@@ -136,7 +136,7 @@
 /// The write by which a process tells where it is.
 pub fn announcement(name: &str, node: &Node) -> Commit {
     let value = serde_json::to_string(node).expect("rows are plain data");
-    Commit { put: vec![Put { key: node_key(name), value }], ..Commit::default() }
+    Commit { put: vec![Put { key: self::node_key(name), value }], ..Commit::default() }
 }
 
 /// The keys of all rows of a job.
