--- a/crates/dispatch/tests/mirror.rs
+++ b/crates/dispatch/tests/mirror.rs
@@ -35,8 +35,8 @@
         told.push(format!("{:?} {news:?}", state(&mirror)));
     }
     assert_snapshot!(told.join("\n"), @r#"
-    Some(Cancelled) Some(Cancelled("a"))
-    Some(Cancelled) Some(Job("a"))
+    Some(Cancelled) Some(JobCancelled("a"))
+    Some(Cancelled) Some(JobAccepted("a"))
     Some(Succeeded) None
     None None
     "#);
