--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -1,4 +1,4 @@
-//! What agents report, brought into the owner's picture.
+//! Applies the reports of agents to the owner's state.
 
 use quincewheel_job::{End, How, Incarnation, Run, State, Task, Worker};
 use quincewheel_wire::{Order, Refused};
@@ -8,7 +8,9 @@
 use crate::refusals::Refusals;
 
 impl Owner {
-    /// An agent told what its worker is and does.
+    /// Applies an agent's status: its worker, what runs there, and ends not yet acknowledged.
+    ///
+    /// `stamp` is the agent's clock when it sent the status, `now` is the owner's.
     pub(crate) fn on_status(
         &mut self,
         name: &str,
@@ -32,7 +34,7 @@
         let other = agent.worker.as_ref().is_none_or(|known| !known.is(&from));
         let reborn = other && agent.worker.is_some();
         if other {
-            // A list that was asked for before this incarnation began cannot name it.
+            // A machine list requested before this incarnation started cannot name it.
             agent.missed = None;
             agent.noted = 0;
             agent.seen = 0;
@@ -47,7 +49,7 @@
         }
         let changed = agent.worker.as_ref().is_some_and(|known| known.fits_others(&worker));
         agent.evacuated = self.evacuated.covers(&worker.zone);
-        // A status may repeat what the worker reported once; it counts from the first.
+        // Agents repeat the worker's last report, so the warm-up time counts from the first.
         if agent.worker.as_ref().is_none_or(|known| known.cold != worker.cold) || other {
             agent.warm = now + worker.cold;
         }
@@ -59,37 +61,37 @@
         agent.heard |= fenced;
         agent.listed = running.iter().map(|run| (run.task.clone(), run.number)).collect();
         self.replan |= !std::mem::take(&mut agent.strays).is_empty();
-        // A worker that broke its connections takes work again once it answers.
+        // A worker that broke its connections is schedulable again once it answers.
         let broke = fenced && agent.crash.is_some();
         if reborn || first || changed || broke {
             self.replan = true;
         }
         if other {
-            self.drop_former(name, &from, now);
+            self.drop_former_runs(name, &from, now);
         }
         for end in ended {
-            self.ended(name, &from, end, now);
+            self.on_end(name, &from, end, now);
         }
         for run in running {
-            self.running(name, &from, run, now);
+            self.on_listed_run(name, &from, run, now);
         }
         if fenced {
             self.clear_suspects(name, &from, running, stamp);
             self.throttle(name, running);
-            self.missing(name, running, now);
+            self.drop_missing(name, running, now);
             self.leave_still(name, now);
         }
         if first {
-            self.resume(name, &from, now);
+            self.resend_orders(name, &from, now);
         }
     }
 
-    /// A worker that started again runs nothing of before.
+    /// Drops the runs of the worker's previous incarnations, which ended with them.
     ///
-    /// But a call names the worker by its id only. A start that the former incarnation never
-    /// listed may have reached the one that is there, or reach it yet, and its task would run
-    /// twice if it started elsewhere: it is stopped there first.
-    fn drop_former(&mut self, name: &str, from: &Incarnation, now: u64) {
+    /// Calls to a worker name it by id only. A start that the previous incarnation never listed
+    /// may have reached the current one, or may still reach it. Its task would run twice if it
+    /// were started elsewhere, so it is stopped at the current incarnation first.
+    fn drop_former_runs(&mut self, name: &str, from: &Incarnation, now: u64) {
         let former = self.runs_where(|placed| placed.agent == name && placed.worker != *from);
         for (job, key) in former {
             let entry = self.jobs.get_mut(&job);
@@ -97,16 +99,16 @@
             if placed.worker.id == from.id && placed.listed.is_none() {
                 placed.worker = from.clone();
                 placed.phase = Phase::Running;
-                self.log("run doubted", &job, format!("{key:?}: worker at {name} started anew"));
+                self.log("run doubted", &job, format!("{key:?}: worker at {name} restarted"));
                 self.stop(&job, key, now);
                 continue;
             }
-            self.log("run lost", &job, format!("{key:?}: worker at {name} started anew"));
+            self.log("run lost", &job, format!("{key:?}: worker at {name} restarted"));
             self.drop_run(&job, key);
         }
     }
 
-    /// A worker said that it ends.
+    /// Handles a worker's notice that it is shutting down.
     pub(crate) fn on_left(&mut self, name: &str, from: &Incarnation) {
         if let Some(agent) = self.agents.get_mut(name) {
             agent.crash = None;
@@ -114,31 +116,31 @@
         self.end_incarnation(name, from, "left");
     }
 
-    /// An incarnation of a worker is over, and all that ran there.
+    /// Drops all runs of an incarnation of a worker that has ended. `how` is for the log.
     pub(crate) fn end_incarnation(&mut self, name: &str, from: &Incarnation, how: &str) {
         if let Some(agent) = self.agents.get_mut(name) {
             agent.heard = true;
             agent.left = true;
         }
-        let gone = self.runs_where(|placed| placed.agent == name && placed.worker == *from);
-        for (job, key) in gone {
+        let lost = self.runs_where(|placed| placed.agent == name && placed.worker == *from);
+        for (job, key) in lost {
             self.log("run lost", &job, format!("{key:?}: worker at {name} {how}"));
             self.drop_run(&job, key);
         }
     }
 
-    /// After a new connection, orders that may have been lost with the former
-    /// one are given again. Both are idempotent.
-    fn resume(&mut self, name: &str, from: &Incarnation, now: u64) {
+    /// Sends pending orders again after a reconnect, since they may have been lost with the
+    /// former connection. Starts and stops are idempotent.
+    fn resend_orders(&mut self, name: &str, from: &Incarnation, now: u64) {
         let evacuated = self.agents.get(name).is_some_and(|agent| agent.evacuated);
         for (job, key) in self.runs_where(|placed| placed.agent == name && placed.worker == *from) {
             let Some(entry) = self.jobs.get(&job) else { continue };
             let Some(placed) = entry.runs.get(&key) else { continue };
             if placed.phase == Phase::Starting && evacuated {
-                // The worker has answered and does not list it: what may be on its way yet
-                // must not begin any more.
+                // The worker has answered and does not list the run. The start may still be
+                // in flight and must not take effect in an evacuated zone.
                 self.stop(&job, key, now);
-                self.stop_mates(&job, key, now);
+                self.stop_gang(&job, key, now);
                 continue;
             }
             let (worker, run) = (from.clone(), placed.run);
@@ -157,20 +159,20 @@
         }
     }
 
-    /// A worker lists a run.
-    fn running(&mut self, name: &str, from: &Incarnation, run: &Run, now: u64) {
+    /// Applies one run that a worker lists.
+    fn on_listed_run(&mut self, name: &str, from: &Incarnation, run: &Run, now: u64) {
         let key = task_key(&run.task);
         let Some(entry) = self.jobs.get_mut(&run.task.job) else {
             return self.stop_stray(name, from, &run.task, run.number, now);
         };
         let slot = entry.key(key);
-        // A former owner started the later run only when the earlier one was gone, and the
-        // agent of a worker that is gone still lists what ran there: without this the run
-        // that goes on would be stopped as a remnant, and its task start beside it.
+        // A former owner started the later run only after the earlier one had ended, but the
+        // agent of a lost worker still lists what ran there. Without this check the later,
+        // live run would be stopped as a stray and its task started a second time.
         let earlier = entry.runs.get(&key).is_some_and(|placed| placed.run < run.number);
         if earlier && let Some(former) = entry.runs.remove(&key) {
             let detail =
-                format!("{key:?} run {} at {}: a later one runs", former.run, former.agent);
+                format!("{key:?} run {} at {}: a later run is active", former.run, former.agent);
             self.log("run lost", &run.task.job, detail);
         }
         let Some(entry) = self.jobs.get_mut(&run.task.job) else { return };
@@ -187,14 +189,13 @@
                 }
                 entry.save(slot, &run.saved);
             }
-            // A later run of the task exists, or it is done: this one is a
-            // remnant that nobody waits for.
+            // The task has a later run or is done, so this run is a stray.
             Some(_) => self.stop_stray(name, from, &run.task, run.number, now),
             None if entry.progress.done(&run.task) || entry.progress.state.ended() => {
                 self.stop_stray(name, from, &run.task, run.number, now);
             }
             None => {
-                // Started by a former owner.
+                // A former owner started it.
                 let unit = self.next_unit;
                 self.next_unit += 1;
                 let placed = Placed {
@@ -230,8 +231,8 @@
         }
     }
 
-    /// Stops a run that nobody waits for. The worker lists it until its stop
-    /// is through; one order is enough meanwhile.
+    /// Stops a stray run: one that no unfinished task needs. The worker lists it until the stop
+    /// completes, so the order is not repeated within the reservation time.
     fn stop_stray(&mut self, name: &str, from: &Incarnation, task: &Task, run: u64, now: u64) {
         if let Some(agent) = self.agents.get_mut(name) {
             agent.strays.push(task.clone());
@@ -246,19 +247,19 @@
         self.order(name, Order::Stop { worker: from.clone(), task: task.clone(), run });
     }
 
-    /// Runs that the worker should list and does not.
-    fn missing(&mut self, name: &str, running: &[Run], now: u64) {
+    /// Drops runs that the worker has not listed for `missing_timeout`.
+    fn drop_missing(&mut self, name: &str, running: &[Run], now: u64) {
         let bound = self.settings.missing_timeout;
         let Some(agent) = self.agents.get_mut(name) else { return };
-        // All runs are gone through for it, and a report comes with each end.
+        // The scan covers all runs and statuses arrive with each end, so it is rate-limited.
         if now < agent.checked + bound / 10 {
             return;
         }
         agent.checked = now;
-        let old = self.runs_where(|placed| {
+        let overdue = self.runs_where(|placed| {
             placed.agent == name && placed.phase != Phase::Starting && now >= placed.since + bound
         });
-        for (job, key) in old {
+        for (job, key) in overdue {
             let listed = running.iter().any(|run| run.task == task(&job, key));
             if !listed {
                 self.log("run missing", &job, format!("{key:?} at {name}"));
@@ -267,11 +268,11 @@
         }
     }
 
-    /// A worker lists an end.
-    fn ended(&mut self, name: &str, from: &Incarnation, end: &End, now: u64) {
+    /// Applies one end that a worker lists. Ends are numbered; each is applied once.
+    fn on_end(&mut self, name: &str, from: &Incarnation, end: &End, now: u64) {
         let Some(agent) = self.agents.get_mut(name) else { return };
         if end.number <= agent.noted {
-            return self.pass_over(name, from, end);
+            return self.log_ignored_end(name, from, end);
         }
         agent.noted = end.number;
         let key = task_key(&end.task);
@@ -298,19 +299,19 @@
         match end.how {
             How::Done => {
                 if let Some(run) = run {
-                    self.learn(&end.task, &run, now);
+                    self.record_run_time(&end.task, &run, now);
                 }
-                self.done(name, &end.task, now);
+                self.on_done(name, &end.task, now);
             }
-            How::Failed => self.failed(name, &end.task, end.run, now),
+            How::Failed => self.on_failed(name, &end.task, end.run, now),
             How::Stopped | How::Lapsed | How::Broken | How::Alone => {}
         }
-        self.settle(&job);
+        self.close_if_finished(&job);
     }
 
-    /// An end was taken note of before. Told if its run is still believed to go on: then the
-    /// number may be another end's.
-    fn pass_over(&mut self, name: &str, from: &Incarnation, end: &End) {
+    /// Logs an end whose number was already processed, if its run is still recorded as active:
+    /// the number may then belong to another end.
+    fn log_ignored_end(&mut self, name: &str, from: &Incarnation, end: &End) {
         let Some(entry) = self.jobs.get(&end.task.job) else { return };
         let placed = entry.runs.get(&task_key(&end.task));
         if placed.is_some_and(|placed| placed.worker == *from && placed.run == end.run) {
@@ -320,9 +321,9 @@
         }
     }
 
-    /// Takes note of how long a task took that is done. The longest of a step is what
-    /// its job's objective allows for; one a step is enough to learn from.
-    fn learn(&mut self, task: &Task, run: &Placed, now: u64) {
+    /// Records the run time of a finished task. The job's objective is computed from the longest
+    /// task of each step; only the first of a step updates the learned run times.
+    fn record_run_time(&mut self, task: &Task, run: &Placed, now: u64) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let estimate = entry.step(task_key(task)).map_or(0, |step| step.estimate);
         if !run.whole || estimate == 0 {
@@ -338,8 +339,8 @@
         self.learned = true;
     }
 
-    /// A task is done, and with it its whole gang.
-    fn done(&mut self, name: &str, task: &Task, now: u64) {
+    /// Marks a task as done, and with it its whole gang.
+    fn on_done(&mut self, name: &str, task: &Task, now: u64) {
         if let Some(agent) = self.agents.get_mut(name) {
             agent.failures = 0;
             agent.doubted = 0;
@@ -353,7 +354,7 @@
         }
         entry.progress.finish(&entry.job, task);
         let ended = entry.progress.state.ended();
-        // A copy of a task that is done must not go on.
+        // A speculative copy of a finished task is no longer needed.
         let other = entry.runs.contains_key(&task_key(task));
         let gang = step_is_gang(entry.job.steps.get(task.step as usize));
         self.touch(&task.job, ended);
@@ -365,12 +366,12 @@
         }
     }
 
-    /// A task failed.
-    fn failed(&mut self, name: &str, task: &Task, run: u64, now: u64) {
-        let doubt = self.settings.failure_cooldown;
+    /// Counts a failure against the worker and the task; the job fails with its last attempt.
+    fn on_failed(&mut self, name: &str, task: &Task, run: u64, now: u64) {
+        let cooldown = self.settings.failure_cooldown;
         if let Some(agent) = self.agents.get_mut(name) {
             agent.failures += 1;
-            agent.doubted = now + doubt * u64::from(agent.failures.min(3));
+            agent.doubted = now + cooldown * u64::from(agent.failures.min(3));
         }
         self.record_failure(name, task, now);
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
@@ -386,16 +387,16 @@
         }
     }
 
-    /// Forgets an ended job once nothing of it runs.
-    fn settle(&mut self, id: &str) {
-        let over =
+    /// Closes an ended job once none of its runs is left and its end is recorded.
+    fn close_if_finished(&mut self, id: &str) {
+        let finished =
             |entry: &crate::entry::Entry| entry.progress.state.ended() && entry.runs.is_empty();
-        if self.jobs.get(id).is_some_and(over) && !self.dirty.contains(id) && !self.recording {
+        if self.jobs.get(id).is_some_and(finished) && !self.dirty.contains(id) && !self.recording {
             self.close_job(id);
         }
     }
 
-    /// A start took effect.
+    /// Handles the confirmation that a start took effect.
     pub(crate) fn on_started(&mut self, task: &Task, run: u64, now: u64) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let Some(placed) = entry.runs.get_mut(&task_key(task)) else { return };
@@ -408,7 +409,7 @@
             placed.phase = Phase::Running;
         }
         if let Some(agent) = self.agents.get_mut(&placed.agent) {
-            // Open again, and sooner than its pause would have told.
+            // An accepted start ends the worker's back-off early.
             self.replan |= agent.refusals.until > 0;
             agent.refusals = Refusals::default();
         }
@@ -418,7 +419,7 @@
         }
     }
 
-    /// A start did not take effect.
+    /// Handles a start that was refused with the reason `why`.
     pub(crate) fn on_start_refused(
         &mut self,
         name: &str,
@@ -440,19 +441,19 @@
         }
         self.replan = true;
         self.log("start refused", &task.job, format!("{task} run {run} {why:?} at {name}"));
-        let sound = matches!(
+        let worker_blameless = matches!(
             why,
             Refused::Leaving | Refused::Old | Refused::Lease | Refused::Fence | Refused::Ticket
         );
-        if !sound {
+        if !worker_blameless {
             self.back_off(name, now);
         }
-        self.stop_mates(&task.job, key, now);
+        self.stop_gang(&task.job, key, now);
     }
 
-    /// Stops the other members of a gang of which one does not start: they would wait in vain
-    /// and hold their places meanwhile.
-    fn stop_mates(&mut self, id: &str, key: Key, now: u64) {
+    /// Stops all members of the task's gang, if it is in one. Called when one member does not
+    /// start: the others would wait in vain and hold their places.
+    fn stop_gang(&mut self, id: &str, key: Key, now: u64) {
         let Some(entry) = self.jobs.get(id) else { return };
         if !entry.step(key).is_some_and(|step| step.gang) {
             return;
@@ -464,8 +465,8 @@
         }
     }
 
-    /// A stop was confirmed, and the worker has been looked at since: what it
-    /// does not list is gone.
+    /// Handles a confirmed stop. The agent has polled the worker since, so a run that the worker
+    /// does not list has ended.
     pub(crate) fn on_stopped(&mut self, task: &Task, run: u64) {
         let Some(entry) = self.jobs.get(&task.job) else { return };
         let Some(placed) = entry.runs.get(&task_key(task)) else { return };
@@ -479,6 +480,7 @@
     }
 }
 
+/// The key of a task within its job.
 pub(crate) fn task_key(task: &Task) -> Key {
     (task.occurrence, task.step, task.index)
 }
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -1,4 +1,7 @@
-//! Tasks that may crash the workers that start them: counted, kept apart, cleared, given up.
+//! Tasks suspected of crashing the workers that start them.
+//!
+//! A task that was just started at a worker when it crashed is a suspect. Suspects are retried in
+//! isolation, cleared once they outlive a start, and their job fails after [`CRASHES`] crashes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,22 +15,22 @@
 use crate::owner::Owner;
 use crate::reports::task_key;
 
-/// Crashes that may have been the doing of several tasks, as far as they are remembered. A task
-/// that is tried by itself is found out within a second; in that time few workers crash.
-const SHARED: usize = 32;
+/// Most crashes with several suspects that are remembered. A task that is retried alone crashes
+/// its worker within a second, and few workers crash in that time.
+const MAX_SHARED_CRASHES: usize = 32;
 
 /// A worker that broke its connections, and the starts that may have crashed it.
 #[derive(Clone, Debug)]
 pub(crate) struct SuspectedCrash {
-    /// Which incarnation of the worker.
+    /// The incarnation of the worker.
     pub worker: Incarnation,
-    /// The tasks and their runs.
+    /// The tasks that had just been started, with their run numbers.
     pub starts: Vec<(Task, u64)>,
 }
 
 impl Owner {
-    /// A worker broke its connections just after these starts. One that leaves or is taken
-    /// down does so, too.
+    /// Handles a worker that broke its connections just after these starts. Workers that shut
+    /// down or whose machine is taken down break them, too, and are ignored here.
     pub(crate) fn on_connections_broken(
         &mut self,
         name: &str,
@@ -36,25 +39,25 @@
     ) {
         self.log("worker broke", name, format!("{worker} just after {}", list_starts(&starts)));
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let there = agent.worker.as_ref().filter(|known| known.is(&worker));
-        if there.is_some_and(|worker| worker.draining) || agent.doomed {
+        let current = agent.worker.as_ref().filter(|known| known.is(&worker));
+        if current.is_some_and(|worker| worker.draining) || agent.doomed {
             return;
         }
-        let later = there.is_none() && agent.worker.is_some();
+        let later = current.is_none() && agent.worker.is_some();
         agent.crash = Some(SuspectedCrash { worker, starts });
         if later {
             self.attribute_crash(name);
         }
     }
 
-    /// True if the incarnation of a worker before this one may have been crashed.
+    /// True if the previous incarnation of the agent's worker may have been crashed by a task.
     pub(crate) fn follows_crash(&self, name: &str, worker: &Incarnation) -> bool {
         let crash = self.agents.get(name).and_then(|agent| agent.crash.as_ref());
         crash.is_some_and(|crash| crash.worker != *worker)
     }
 
-    /// An incarnation of an agent's worker is over. Counts it against what had just started there,
-    /// and gives up a task that has crashed too many workers in a row.
+    /// Counts the crash of an agent's worker against the tasks that had just started there. The job
+    /// of a task that has crashed too many workers in a row fails.
     pub(crate) fn attribute_crash(&mut self, name: &str) {
         let Some(agent) = self.agents.get_mut(name) else { return };
         let Some(SuspectedCrash { starts, .. }) = agent.crash.take() else { return };
@@ -64,42 +67,45 @@
         }
         match &starts[..] {
             [] => {}
-            [(alone, _)] => self.explain_others(alone),
+            [(culprit, _)] => self.exonerate_others(culprit),
             _ => {
                 self.shared.push(starts.into_iter().map(|(task, _)| task).collect());
-                if self.shared.len() > SHARED {
+                if self.shared.len() > MAX_SHARED_CRASHES {
                     self.shared.remove(0);
                 }
             }
         }
     }
 
-    /// A task crashed a worker by itself: what was lost beside it before was hardly the cause.
-    /// It keeps its count, as several bad tasks may have been lost together.
-    fn explain_others(&mut self, bad: &Task) {
-        let with_bad = |tasks: &mut Vec<Task>| tasks.contains(bad);
-        let others: Vec<Vec<Task>> = self.shared.extract_if(.., with_bad).collect();
-        for task in others.iter().flatten().filter(|task| *task != bad) {
+    /// Lets other suspects of earlier crashes start again after `culprit` crashed a worker alone:
+    /// they were hardly the cause. They keep their counts, since one crash may have hit several
+    /// faulty tasks.
+    fn exonerate_others(&mut self, culprit: &Task) {
+        let with_culprit = |tasks: &mut Vec<Task>| tasks.contains(culprit);
+        let others: Vec<Vec<Task>> = self.shared.extract_if(.., with_culprit).collect();
+        for task in others.iter().flatten().filter(|task| *task != culprit) {
             let Some(entry) = self.jobs.get_mut(&task.job) else { continue };
             entry.explained.insert(entry.key(task_key(task)));
             self.replan = true;
         }
     }
 
+    /// Counts a crash against one of the `among` tasks that had just started at the worker.
     fn count_crash(&mut self, name: &str, task: &Task, run: u64, among: usize) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        // What is done never starts again: it could not be cleared, and others would wait for it.
+        // A finished task never starts again, so it could never be cleared, and others would
+        // wait for it forever.
         if entry.progress.state.ended() || entry.progress.done(task) {
             return;
         }
-        // One that has outlived a start is not the cause; but a list that was held up on its
-        // way may have shown it alive, so alone it counts.
+        // A task that has outlived a start is not the cause. But a delayed list may have shown
+        // it alive after the crash, so it still counts if it was the only one.
         if among > 1 && entry.sound.contains(&entry.key(task_key(task))) {
             return;
         }
-        let known = entry.progress.crashes(&entry.job, task);
+        let before = entry.progress.crashes(&entry.job, task);
         let crashes = entry.progress.crash(&entry.job, task, run);
-        if crashes == known {
+        if crashes == before {
             return;
         }
         entry.explained.remove(&entry.key(task_key(task)));
@@ -115,7 +121,7 @@
         }
     }
 
-    /// The record of a job was written: crashes under its tasks are not forgotten any more.
+    /// Lets a job's tasks start again once its crashes are recorded: a new owner will know them.
     pub(crate) fn on_progress_recorded(&mut self, id: &str) {
         let newer = self.dirty.contains(id);
         if let Some(entry) = self.jobs.get_mut(id).filter(|entry| entry.unrecorded && !newer) {
@@ -124,8 +130,8 @@
         }
     }
 
-    /// A worker answered, by its agent's clock at `stamp`: nothing has crashed it, and what
-    /// it has listed for a while has outlived its start.
+    /// Clears suspicions after a worker's answer, received at `stamp` by its agent's clock: the
+    /// worker has not crashed, and runs listed for at least `APART` have outlived their starts.
     pub(crate) fn clear_suspects(
         &mut self,
         name: &str,
@@ -142,7 +148,7 @@
             if placed.worker != *worker || placed.run != run.number || placed.outlived {
                 continue;
             }
-            // An agent's clock begins anew with its machine.
+            // An agent's clock starts from zero when its machine reboots.
             let first = placed.listed.map_or(stamp, |first| first.min(stamp));
             placed.listed = Some(first);
             placed.outlived = stamp >= first + APART;
@@ -152,15 +158,15 @@
         }
     }
 
-    /// A task outlived its start, and so did its gang: it crashes no workers, as one that does
-    /// crashes each.
+    /// Clears a task that outlived its start together with its gang. A task that crashes workers
+    /// crashes each one it starts at.
     pub(crate) fn on_start_outlived(&mut self, task: &Task) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         entry.sound.insert(entry.key(task_key(task)));
         self.clear_suspect(task, "it outlived its start");
     }
 
-    /// A task is no suspect any more.
+    /// Resets a task's crash count. `why` is for the log.
     fn clear_suspect(&mut self, task: &Task, why: &str) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         if entry.crashes(&task.job, task_key(task)) == 0 {
@@ -172,8 +178,8 @@
         self.touch(&task.job, false);
     }
 
-    /// Starts a suspect where the least is lost with the worker that it may crash: at as few
-    /// of the least used workers as hold it. Returns the places that it leaves to others.
+    /// Places a suspect where a crash loses the least work: on as few of the least used workers
+    /// as can hold it. Returns the places that it spares for other work.
     pub(crate) fn place_suspect(
         &mut self,
         candidate: &Candidate,
@@ -183,46 +189,46 @@
     ) -> Vec<usize> {
         let mut order = board.least_used();
         order.retain(|place| !barred.contains(place));
-        let mut most = 1;
+        let mut workers = 1;
         loop {
-            let open: BTreeSet<usize> = order.iter().take(most).copied().collect();
+            let open: BTreeSet<usize> = order.iter().take(workers).copied().collect();
             let closed: Vec<usize> =
                 (0..board.spots.len()).filter(|place| !open.contains(place)).collect();
             let spared = self.place_on_rest(candidate, (step, pool), (board, &closed), time);
-            if self.unplaced(candidate) == 0 || most >= order.len() {
+            if self.unplaced(candidate) == 0 || workers >= order.len() {
                 return spared;
             }
-            most *= 2;
+            workers *= 2;
         }
     }
 
-    /// The places at which a candidate must not start now, lest a crash there be blamed on
-    /// it or on what has just started there: for a suspect all at which anything has, for
-    /// others those at which a suspect has.
+    /// The places where a candidate must not start now, so that a crash can be attributed to one
+    /// task: for a suspect all places with a recent start, for others those with a recent start
+    /// of a suspect.
     pub(crate) fn excluded_places(&self, candidate: &Candidate, board: &Board) -> Vec<usize> {
-        let kept = |fresh: RecentStart| candidate.suspect || fresh == RecentStart::Suspect;
-        let fresh = board.fresh.iter().filter(|(_, fresh)| kept(**fresh));
+        let excluded = |fresh: RecentStart| candidate.suspect || fresh == RecentStart::Suspect;
+        let fresh = board.fresh.iter().filter(|(_, fresh)| excluded(**fresh));
         fresh.map(|(place, _)| *place).collect()
     }
 }
 
-/// What has just started at a worker.
+/// The kind of the most recent start at a worker, if it is recent.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum RecentStart {
-    /// Tasks of which nothing is known.
+    /// Only tasks that are not suspected.
     Any,
-    /// A task that may have crashed a worker before.
+    /// A task that is suspected of having crashed a worker.
     Suspect,
 }
 
 impl RecentStart {
-    /// Takes note of a start at a place.
+    /// Records a start at a place. A suspect takes precedence.
     pub fn record(self, fresh: &mut BTreeMap<usize, RecentStart>, place: usize) {
         let known = fresh.entry(place).or_insert(self);
         *known = self.max(*known);
     }
 
-    /// Which it is, if the run has just started.
+    /// Classifies a run; none if it is not recent or has outlived its start.
     pub fn of(id: &str, entry: &Entry, key: Key, placed: &Placed, now: u64) -> Option<RecentStart> {
         if placed.outlived || now >= placed.confirmed.unwrap_or(now) + APART {
             return None;
@@ -231,12 +237,12 @@
     }
 }
 
-/// The tasks of a step that may start now, in groups, and whether a group is suspected.
+/// The tasks of a step that may start now, in groups, with whether each group is suspected.
 ///
-/// Of a job with a suspect that one comes first, and by itself: tasks of one job are alike,
-/// and each of them would cost a worker. The others wait until it has outlived its start, or
-/// another task is found to be the cause; those of other steps, which may find room where it
-/// does not, no longer than [`PATIENCE`].
+/// If a job has a suspect, that task starts first and alone: tasks of one job are alike, so
+/// starting several could cost a worker each. The others wait until the suspect has outlived its
+/// start or another task is found to be the cause. Tasks of other steps may find room where the
+/// suspect does not, so they wait no longer than [`OTHER_STEPS_DELAY_MS`].
 pub(crate) fn isolate_suspects(
     id: &str,
     entry: &Entry,
@@ -249,11 +255,11 @@
     }
     let slot = |index: u32| entry.key((occurrence, step, index));
     let open = |slot: &Key| !entry.explained.contains(slot);
-    let under_way = |(key, placed): (&Key, &Placed)| {
+    let in_progress = |(key, placed): (&Key, &Placed)| {
         open(&entry.key(*key))
             && RecentStart::of(id, entry, *key, placed, now) == Some(RecentStart::Suspect)
     };
-    if entry.unrecorded || entry.runs.iter().any(under_way) {
+    if entry.unrecorded || entry.runs.iter().any(in_progress) {
         return Vec::new();
     }
     let crashed = |index: &u32| entry.crashes(id, slot(*index)) > 0;
@@ -261,7 +267,7 @@
     let gang = entry.job.steps.get(step as usize).is_some_and(|step| step.gang);
     let mut groups = match gang && !suspects.is_empty() {
         true => vec![(suspects, true)],
-        false => apart(suspects, |index| open(&slot(index))),
+        false => separately(suspects, |index| open(&slot(index))),
     };
     if !others.is_empty() && !waits_for_suspect(entry, (occurrence, step), now) {
         groups.push((others, false));
@@ -269,23 +275,23 @@
     groups
 }
 
-/// Suspects that may be tried at once, each by itself: the first, and all that another task
-/// seems to have been the cause for.
-fn apart(suspects: Vec<u32>, open: impl Fn(u32) -> bool) -> Vec<(Vec<u32>, bool)> {
+/// Suspects that may be retried now, each as a group of its own: the first that is not exonerated,
+/// and all that are.
+fn separately(suspects: Vec<u32>, open: impl Fn(u32) -> bool) -> Vec<(Vec<u32>, bool)> {
     let first = suspects.iter().copied().find(|index| open(*index));
-    let tried = suspects.into_iter().filter(|index| first == Some(*index) || !open(*index));
-    tried.map(|index| (vec![index], true)).collect()
+    let retried = suspects.into_iter().filter(|index| first == Some(*index) || !open(*index));
+    retried.map(|index| (vec![index], true)).collect()
 }
 
-/// True if tasks of the step wait for a suspect of their job that has not been tried again.
+/// True if tasks of the step must wait for a suspect of their job that has not been retried.
 fn waits_for_suspect(entry: &Entry, step: (u32, u32), now: u64) -> bool {
     let runs = |slot: &Key| entry.runs.keys().any(|key| entry.key(*key) == *slot);
-    let untried = |slot: &Key| !entry.explained.contains(slot) && !runs(slot);
-    let patient = entry.idle.is_none_or(|since| now < since + PATIENCE);
-    let holds = |slot: Key| patient || (slot.0, slot.1) == step;
-    entry.progress.suspects().filter(untried).any(holds)
+    let waiting = |slot: &Key| !entry.explained.contains(slot) && !runs(slot);
+    let within_delay = entry.idle.is_none_or(|since| now < since + OTHER_STEPS_DELAY_MS);
+    let blocks = |slot: Key| within_delay || (slot.0, slot.1) == step;
+    entry.progress.suspects().filter(waiting).any(blocks)
 }
 
-/// Other steps of a job of which nothing runs wait no longer than this for a place for a
-/// suspect, in milliseconds: a job must not stand still beside idle workers.
-const PATIENCE: u64 = 1500;
+/// Longest time that other steps of an idle job wait until a suspect finds a place. Without a
+/// bound a job could stall beside idle workers.
+const OTHER_STEPS_DELAY_MS: u64 = 1500;
