--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -1,4 +1,7 @@
-//! Applies what speaks against workers.
+//! Failures of tasks counted against workers.
+//!
+//! A task avoids a worker at which it failed, and a worker that fails the tasks of several jobs is
+//! closed for a while.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +14,8 @@
 use crate::reports::task_key;
 
 impl Owner {
-    /// Takes note of a failure at an agent's worker.
+    /// Records a failure of a task at an agent's worker, and closes the worker if that is due. The
+    /// number of closed workers is bounded.
     pub(crate) fn record_failure(&mut self, name: &str, task: &Task, now: u64) {
         if let Some(entry) = self.jobs.get_mut(&task.job)
             && let Some(worker) = self.agents.get(name).and_then(|agent| agent.worker.as_ref())
@@ -26,15 +30,15 @@
         let Some(agent) = self.agents.get_mut(name) else { return };
         if agent.blame.note(&task.job) && closed < most {
             let ms = agent.blame.close(now);
-            self.log("worker closed", name, format!("for {ms} ms: all that it starts fails"));
+            self.log("worker closed", name, format!("for {ms} ms: all recent tasks there failed"));
         }
     }
 
-    /// Opens workers whose time is over, and lets tasks return to workers.
+    /// Reopens workers whose closure has expired, and lets tasks return to workers that they avoided.
     pub(crate) fn reopen_workers(&mut self, now: u64) {
         if self.avoiding.take_if(|at| *at <= now).is_some() {
             self.replan = true;
-            self.avoiding = self.next_return(now);
+            self.avoiding = self.next_avoid_expiry(now);
         }
         for agent in self.agents.values_mut().filter(|agent| agent.blame.until > 0) {
             if now >= agent.blame.until {
@@ -44,13 +48,14 @@
         }
     }
 
-    /// When the next task may return to a worker at which it failed.
-    fn next_return(&self, now: u64) -> Option<u64> {
+    /// The earliest time at which a task may return to a worker that it avoids.
+    fn next_avoid_expiry(&self, now: u64) -> Option<u64> {
         let entries = self.jobs.values().flat_map(|entry| entry.avoided.values());
         entries.flat_map(|workers| workers.values().copied()).filter(|until| *until > now).min()
     }
 
-    /// The places of workers at which tasks of the candidate have failed.
+    /// The places of workers that the candidate avoids because its tasks failed there. Bounded, so
+    /// that some places stay open.
     pub(crate) fn avoided_places(
         &self,
         candidate: &Candidate,
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -1,4 +1,4 @@
-//! Agents as members: connections, leases, and what is taken for gone with them.
+//! Membership of agents: connections, leases, and runs lost with them.
 
 use quincewheel_wire::{LinkId, Order};
 
@@ -8,12 +8,14 @@
 use crate::owner::Owner;
 
 impl Owner {
-    /// An agent exists. Those known at a takeover must be heard, or their
-    /// leases lapse, before work of the former owner starts again.
+    /// Adds an agent that has a row in the table.
+    ///
+    /// Agents added within a second after the takeover may hold leases of the former owner. They
+    /// must answer, or their leases expire, before work of the former owner is restarted.
     pub fn add_agent(&mut self, name: &str, now: u64) {
         let lapse = match now.saturating_sub(self.claimed) {
-            // Known since the takeover: the former owner may have granted a
-            // lease up to the moment at which it was replaced.
+            // Known since the takeover: the former owner may have granted a lease until it
+            // was replaced.
             0..=1000 => self.claimed + self.settings.lease + self.settings.lease_margin,
             _ => 0,
         };
@@ -25,11 +27,12 @@
         }
     }
 
-    /// A connection to an agent was opened.
+    /// Handles a new connection to an agent: claims it under this owner's epoch and replaces any
+    /// earlier connection.
     pub fn on_connected(&mut self, agent: &str, link: LinkId, now: u64) {
         if self.dismissal.contains(agent) {
-            // It was dialled before its row was known to be gone, or has not announced
-            // itself yet. As long as an owner speaks to it, it never would.
+            // It was dialled before the removal of its row was known, or it has not announced
+            // itself again yet, which an agent with a connected owner never does.
             return self.outputs.push(Output::Close { link });
         }
         self.add_agent(agent, now);
@@ -47,7 +50,7 @@
         }
     }
 
-    /// A connection is gone.
+    /// Handles the loss of a connection.
     pub fn on_disconnected(&mut self, link: LinkId) {
         if let Some(name) = self.links.remove(&link)
             && let Some(agent) = self.agents.get_mut(&name)
@@ -58,16 +61,17 @@
         }
     }
 
-    /// Grants a lease from the moment at which the agent asked for it.
+    /// Grants a lease that starts when the agent requested it, at `stamp` by the agent's clock.
     ///
-    /// An owner that the table has not confirmed for a while may have been
-    /// replaced without knowing. It goes on only while it speaks to most
-    /// agents, as a new owner cannot then reach them, and waits for them.
+    /// An owner that the table has not confirmed recently may have been replaced without
+    /// knowing. It then grants leases only while it is connected to a majority of agents: a new
+    /// owner cannot reach those and waits for them.
     ///
-    /// Where the worker has owed an answer for long, the lease counts from that answer,
-    /// at the agent as here: no renewal is known to have arrived since. Counted from the
-    /// agent's word, which lives beside a dead worker for as long as it has for shutting
-    /// down, what ran there was held for a lease longer: 19 s instead of 10.
+    /// If the worker has owed an answer for `silent` milliseconds and that is overdue, the lease
+    /// counts from its last answer, here and at the agent, since no renewal is known to have
+    /// arrived after it. An agent may outlive its worker by its whole shutdown time; counting from
+    /// the agent's request would hold the runs of a dead worker for one lease longer, 19 s instead
+    /// of 10 s.
     pub(crate) fn grant_lease(
         &mut self,
         name: &str,
@@ -77,11 +81,11 @@
         now: u64,
     ) {
         let bound = self.settings.quorum_window;
-        let heard = |agent: &&Agent| agent.link.is_some() && now <= agent.told + bound;
-        let most = self.agents.values().filter(heard).count() * 2 > self.agents.len();
+        let reachable = |agent: &&Agent| agent.link.is_some() && now <= agent.told + bound;
+        let quorum = self.agents.values().filter(reachable).count() * 2 > self.agents.len();
         let unconfirmed = now.saturating_sub(self.confirmed);
         if unconfirmed > self.settings.grants_stop_after
-            || (unconfirmed > self.settings.quorum_after && !most)
+            || (unconfirmed > self.settings.quorum_after && !quorum)
         {
             return;
         }
@@ -93,18 +97,17 @@
         self.send(link, Order::Grant { stamp: stamp.saturating_sub(age) });
     }
 
-    /// Takes note of how long a worker has owed an answer. One that answers again
-    /// takes work again, though nothing else has changed.
+    /// Records for how long a worker has owed an answer, in milliseconds. A worker that answers
+    /// again becomes schedulable, so planning is triggered.
     pub(crate) fn update_silence(&mut self, name: &str, silent: u64) {
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let mute = self.settings.unresponsive_after;
-        self.replan |= agent.silent >= mute && silent < mute;
+        let bound = self.settings.unresponsive_after;
+        self.replan |= agent.silent >= bound && silent < bound;
         agent.silent = silent;
     }
 
-    /// Closes connections on which nothing comes any more. A connection may
-    /// stay open without carrying anything while a new one would; only the
-    /// missing pings show it.
+    /// Closes connections without traffic for `connection_timeout`. A connection may stay open
+    /// without carrying data while a new one would; only the missing pings reveal it.
     pub(crate) fn close_unresponsive(&mut self, now: u64) {
         let bound = self.settings.connection_timeout;
         let silent = self.agents.values().filter(|agent| now > agent.told + bound);
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Takes runs for gone whose leases have lapsed without a word.
+    /// Drops runs at workers whose leases have expired without a sign of life.
     pub(crate) fn expire_leases(&mut self, now: u64) {
         let bound = self.settings.lease + self.settings.lease_margin;
         let mut lost = Vec::new();
@@ -129,7 +132,7 @@
         self.expire_dismissed(now);
         for name in lost {
             self.attribute_crash(&name);
-            // What began since is not covered by the silence.
+            // Runs that started later are not covered by this silence.
             let old = |placed: &Placed| placed.agent == name && now >= placed.began + bound;
             for (id, key) in self.runs_where(old) {
                 self.log("run lapsed", &id, format!("{key:?} at {name}"));
@@ -138,15 +141,15 @@
         }
     }
 
-    /// Takes runs for gone whose agents are no members any more.
+    /// Drops runs at dismissed agents whose leases have expired.
     fn expire_dismissed(&mut self, now: u64) {
         for (id, key) in self.runs_where(|placed| self.dismissal.has_lapsed(&placed.agent, now)) {
-            self.log("run lapsed", &id, format!("{key:?}: its agent is no member"));
+            self.log("run lapsed", &id, format!("{key:?}: its agent was dismissed"));
             self.drop_run(&id, key);
         }
     }
 
-    /// True if there is a connection to the agent.
+    /// True if the agent has an open connection.
     pub fn is_connected(&self, agent: &str) -> bool {
         self.agents.get(agent).is_some_and(|agent| agent.link.is_some())
     }
