--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -1,139 +1,135 @@
 use crate::rows::Ownership;
 
-/// Decides when to take the ownership over.
+/// Decides when this candidate claims the ownership.
 ///
-/// An owner rewrites its row several times within a candidate's patience. A
-/// candidate that hears the table well, yet sees the row stand still, takes
-/// over. One that does not hear the table cannot tell, and waits: the owner may
-/// be well. Nor does time count in which it did not hear the table, since the
-/// owner may not have reached it either.
+/// An owner rewrites its row several times within the claim timeout. A candidate that reads the
+/// table's changes without a gap and sees no new version of the row for that long claims the
+/// ownership. A candidate that cannot read the table waits, since the owner may be healthy. Time
+/// without table access does not count, since the owner may not have reached the table either.
 #[derive(Debug)]
 pub struct Election {
     name: String,
     incarnation: u64,
-    /// Milliseconds for which the row must have stood still.
-    patience: u64,
-    /// Since when it has been known that nobody ever owned.
-    unowned: Option<u64>,
-    /// The former owner asked this entry to step in, at this version of the row.
-    called: Option<u64>,
-    /// The row's version, and since when it has been seen without a gap.
-    seen: Option<(u64, u64)>,
-    /// When the table last told all changes.
-    heard: u64,
-    /// Since when the owner's connection has been gone; none while it is there
-    /// or was never made.
-    lost: Option<u64>,
-    /// When the owner last said that it lives; none before, and without its connection.
-    word: Option<u64>,
-    /// How long this candidate waits beyond the one that should own.
+    /// Milliseconds without a new version of the owner's row after which it is replaced.
+    claim_timeout: u64,
+    /// Since when the table is known to have no owner row.
+    unowned_since: Option<u64>,
+    /// The version of the row at which the former owner handed over to this entry.
+    handed_over_at: Option<u64>,
+    /// The row's version, and since when it has been unchanged without a gap in the reads.
+    unchanged: Option<(u64, u64)>,
+    /// When the table's changes were last read completely.
+    last_read: u64,
+    /// Since when the owner's connection has been lost; none while it is open or if there never
+    /// was one.
+    disconnected_since: Option<u64>,
+    /// When the owner's last heartbeat arrived; none before the first and without a connection.
+    last_heartbeat: Option<u64>,
+    /// How much longer than the first candidate this one waits, in milliseconds.
     stagger: u64,
 }
 
-/// The second candidate waits for so many milliseconds beyond the first: what a claim
-/// takes, 10 ms, until all others have heard of it, which read their feed every 40 ms.
-/// Without a wait all claimed at once, and a machine that was too small won by chance.
-const SECOND: u64 = 60;
+/// How much longer the second candidate waits than the first. A claim takes 10 ms, and the others
+/// read the change feed every 40 ms. Without the wait all candidates claim at once, and a machine
+/// that is too small may win.
+const FIRST_STAGGER_MS: u64 = 60;
 
-/// And each further one for so many more: a claim that is refused costs one write.
-const STEP: u64 = 20;
+/// How much longer each further candidate waits than the one before it. A claim that loses the
+/// race costs only one write.
+const STAGGER_STEP_MS: u64 = 20;
 
-/// But none for more than this. Where so many larger machines are gone, a few refused
-/// writes cost less than the wait.
-const LONGEST: u64 = 400;
+/// Longest stagger. If that many larger machines are down, a few refused writes cost less than a
+/// longer wait.
+const MAX_STAGGER_MS: u64 = 400;
 
-/// Where nobody ever owned, entries have just started, and it takes so many milliseconds
-/// until they know of one another: all start within 300, and announce themselves.
-const ASSEMBLY: u64 = 500;
+/// How long candidates wait if there was never an owner. The entries have just started, within
+/// 300 ms of one another, and must announce themselves first.
+const BOOTSTRAP_DELAY_MS: u64 = 500;
 
-/// An entry that drains leaves a vacant ownership to others for so many
-/// milliseconds: ten times what a claim takes.
-const VACANT: u64 = 300;
+/// How long a draining entry leaves a vacant ownership to others: ten times what a claim takes.
+const DRAINING_DELAY_MS: u64 = 300;
 
-/// A candidate that did not hear the table for so many milliseconds starts
-/// counting anew. It asks for changes every 400 ms, and a slow table answers
-/// within some 450. Without this, every entry took over the moment a table came
-/// back that had been away for longer than their patience.
-const GAP: u64 = 1000;
+/// A gap between two reads after which a candidate restarts its timeout. Candidates poll every
+/// 400 ms, and a slow table answers within about 450 ms. Without this, every entry would claim the
+/// ownership as soon as a table returns after an outage longer than the claim timeout.
+const READ_GAP_MS: u64 = 1000;
 
-/// An owner whose connection broke is replaced after so many milliseconds,
-/// if it neither connects again nor writes its row. An owner that lives dials
-/// again within 400 ms.
+/// An owner that lost its connection, or sends no heartbeats, is replaced after this time unless
+/// it reconnects or writes its row. A running owner reconnects within 400 ms.
 pub(crate) const OWNER_TIMEOUT_MS: u64 = 700;
 
 impl Election {
-    /// A candidate.
-    pub fn new(name: &str, incarnation: u64, patience: u64) -> Election {
+    /// A candidate that claims after the row has been unchanged for `claim_timeout` milliseconds.
+    pub fn new(name: &str, incarnation: u64, claim_timeout: u64) -> Election {
         Election {
             name: name.to_owned(),
             incarnation,
-            patience,
-            unowned: None,
-            called: None,
-            seen: None,
-            heard: 0,
-            lost: None,
-            word: None,
+            claim_timeout,
+            unowned_since: None,
+            handed_over_at: None,
+            unchanged: None,
+            last_read: 0,
+            disconnected_since: None,
+            last_heartbeat: None,
             stagger: 0,
         }
     }
 
-    /// Takes note of how many candidates come before this one. They wait a little
-    /// longer one after the other, so that they seldom race, and so that the largest
-    /// machine that lives owns.
-    pub fn set_rank(&mut self, place: usize) {
-        self.stagger = match place as u64 {
+    /// Sets how many candidates precede this one. Each waits a little longer than the one before
+    /// it, so that they rarely race and the largest running machine becomes the owner.
+    pub fn set_rank(&mut self, rank: usize) {
+        self.stagger = match rank as u64 {
             0 => 0,
-            place => (SECOND + (place - 1) * STEP).min(LONGEST),
+            rank => (FIRST_STAGGER_MS + (rank - 1) * STAGGER_STEP_MS).min(MAX_STAGGER_MS),
         };
     }
 
-    /// The former owner asked this entry to step in; the row has this version now.
+    /// Handles a hand-over by the former owner to this entry; the row now has this version.
     pub fn on_handover(&mut self, version: u64) {
-        self.called = Some(version);
+        self.handed_over_at = Some(version);
     }
 
-    /// The table was heard, and nobody ever owned.
+    /// Handles a read of the table that found no owner row.
     pub fn on_unowned(&mut self, now: u64) {
-        self.unowned.get_or_insert(now);
+        self.unowned_since.get_or_insert(now);
     }
 
-    /// The owner connected to this process.
+    /// Handles a connection from the owner.
     pub fn on_owner_connected(&mut self) {
-        self.lost = None;
-        self.word = None;
+        self.disconnected_since = None;
+        self.last_heartbeat = None;
     }
 
-    /// The owner said that it lives.
+    /// Handles a heartbeat of the owner.
     pub fn on_owner_heartbeat(&mut self, now: u64) {
-        self.word = Some(now);
+        self.last_heartbeat = Some(now);
     }
 
-    /// The owner's connection to this process broke.
+    /// Handles the loss of the owner's connection.
     pub fn on_owner_disconnected(&mut self, now: u64) {
-        self.lost = Some(now);
-        self.word = None;
+        self.disconnected_since = Some(now);
+        self.last_heartbeat = None;
     }
 
-    /// Takes note of the row as the table has it now.
+    /// Handles a read of the table that found the owner's row at this version.
     pub fn observe_row(&mut self, version: u64, now: u64) {
-        if self.seen.is_none_or(|(known, _)| known < version) {
-            self.seen = Some((version, now));
-            // Whoever wrote it lives; another owner connects anew.
-            self.lost = None;
-            self.word = self.word.map(|_| now);
-        } else if now > self.heard + GAP {
-            self.seen = Some((version, now));
+        if self.unchanged.is_none_or(|(known, _)| known < version) {
+            self.unchanged = Some((version, now));
+            // The writer is alive, and a new owner opens connections of its own.
+            self.disconnected_since = None;
+            self.last_heartbeat = self.last_heartbeat.map(|_| now);
+        } else if now > self.last_read + READ_GAP_MS {
+            self.unchanged = Some((version, now));
         }
-        self.heard = now;
+        self.last_read = now;
     }
 
-    /// True if it is time to take over. `current` is when the table was last
-    /// known to have told all changes.
+    /// True if this candidate should claim the ownership now. `current` is when the table's
+    /// changes were last known to be read completely.
     ///
-    /// One that is `draining` steps in only where nobody else takes what was
-    /// handed over: where entries restart one after the other, all that are
-    /// there may be about to end, and a short ownership is better than none.
+    /// A `draining` candidate claims only an ownership that was handed over and that nobody else
+    /// has claimed. In a rolling restart all running entries may be draining, and a short
+    /// ownership is better than none.
     pub fn should_claim(
         &self,
         owner: Option<&(Ownership, u64)>,
@@ -142,28 +138,32 @@
         draining: bool,
     ) -> bool {
         let Some((owner, version)) = owner else {
-            let assembled = |since| now >= since + ASSEMBLY + self.stagger;
-            return !draining && self.unowned.is_none_or(assembled);
+            let delay_over = |since| now >= since + BOOTSTRAP_DELAY_MS + self.stagger;
+            return !draining && self.unowned_since.is_none_or(delay_over);
         };
-        let held = self.seen.filter(|(known, _)| known == version);
+        let unchanged = self.unchanged.filter(|(known, _)| known == version);
         if draining {
-            let vacant = held.is_some_and(|(_, since)| now >= since + VACANT);
-            return owner.holder.is_empty() && vacant;
+            let unclaimed = unchanged.is_some_and(|(_, since)| now >= since + DRAINING_DELAY_MS);
+            return owner.holder.is_empty() && unclaimed;
         }
-        let mine = owner.holder == self.name && owner.incarnation != self.incarnation;
-        let patience = self.patience + self.stagger;
-        let still = held.is_some_and(|(_, since)| current >= since + patience);
-        // An owner whose connection breaks is dead, or else it connects again
-        // or writes its row within this time.
-        let gone = self.lost.is_some_and(|since| now >= since + OWNER_TIMEOUT_MS + self.stagger);
-        // One that lost its power or is cut off breaks no connection: it says nothing, and its
-        // row stands still.
-        let silent = self.word.is_some_and(|at| now >= at + OWNER_TIMEOUT_MS + self.stagger)
-            && held.is_some_and(|(_, since)| current >= since + OWNER_TIMEOUT_MS + self.stagger);
-        // The former incarnation of this very process cannot act any more.
-        let waited = held.is_some_and(|(_, since)| now >= since + self.stagger);
-        let mine_next = self.stagger == 0 || waited || self.called == Some(*version);
-        let vacant = owner.holder.is_empty() && mine_next;
-        mine || gone || silent || vacant || (still && now < current + patience)
+        let own_former = owner.holder == self.name && owner.incarnation != self.incarnation;
+        let timeout = self.claim_timeout + self.stagger;
+        let stale = unchanged.is_some_and(|(_, since)| current >= since + timeout);
+        // An owner that lost its connection has ended, or it reconnects or writes its row
+        // within this time.
+        let disconnected = self
+            .disconnected_since
+            .is_some_and(|since| now >= since + OWNER_TIMEOUT_MS + self.stagger);
+        // A power loss or a network partition breaks no connection: heartbeats stop and the row
+        // stays unchanged.
+        let silent =
+            self.last_heartbeat.is_some_and(|at| now >= at + OWNER_TIMEOUT_MS + self.stagger)
+                && unchanged
+                    .is_some_and(|(_, since)| current >= since + OWNER_TIMEOUT_MS + self.stagger);
+        // The previous incarnation of this process has ended.
+        let turn_reached = unchanged.is_some_and(|(_, since)| now >= since + self.stagger);
+        let is_next = self.stagger == 0 || turn_reached || self.handed_over_at == Some(*version);
+        let vacant = owner.holder.is_empty() && is_next;
+        own_former || disconnected || silent || vacant || (stale && now < current + timeout)
     }
 }
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -10,56 +10,56 @@
 use crate::rows::{Node, OWNER_KEY, Ownership, TIMES_KEY, WaveRecord};
 use crate::times::Times;
 
-/// The system's rows as one process knows them.
+/// A process's in-memory replica of the system's rows.
 #[derive(Debug, Default)]
 pub struct Mirror {
-    /// Jobs by name.
+    /// Jobs by id.
     pub jobs: BTreeMap<Id, JobView>,
     /// Agents by name.
     pub nodes: BTreeMap<String, Node>,
-    /// The ownership row and its version; none if nobody ever owned.
+    /// The ownership row and its version; none if there was never an owner.
     pub owner: Option<(Ownership, u64)>,
-    /// The entry that owned last, also where it has handed over.
-    last: Option<String>,
-    /// Run times that owners have learned.
+    /// The entry that owned last, also after it handed over.
+    last_owner: Option<String>,
+    /// Run times learned by owners.
     pub times: Times,
-    /// What owners know of waves of maintenance.
+    /// What owners recorded of waves of maintenance, by number.
     pub waves: BTreeMap<u64, WaveRecord>,
-    /// All changes up to this version are in.
+    /// All changes up to this version of the table are applied.
     pub version: u64,
     /// When this process first saw that a job had ended, in milliseconds.
-    ended: BTreeMap<Id, u64>,
+    ended_at: BTreeMap<Id, u64>,
 }
 
-/// What is known of one job.
+/// The rows of one job.
 #[derive(Clone, Debug, Default)]
 pub struct JobView {
     /// The job and its row's version; none if only its cancellation is known.
     pub job: Option<(Job, u64)>,
-    /// How far it is.
+    /// The job's recorded progress.
     pub progress: Option<Progress>,
-    /// The version of the row that told it.
-    told: u64,
-    /// Its checkpoints, as they were recorded.
+    /// The version of the row that held the progress.
+    progress_version: u64,
+    /// Its recorded checkpoints.
     pub saved: Checkpoints,
-    /// A client cancelled it.
+    /// True if a client cancelled it.
     pub cancelled: bool,
 }
 
-/// A change that matters beyond the mirror.
+/// A change of the rows that the process must act on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RowEvent {
     /// A job was accepted.
     JobAccepted(Id),
     /// A job was cancelled.
     JobCancelled(Id),
-    /// A process announced itself, for the first time or again.
+    /// A process announced itself, possibly again.
     NodeAnnounced(String),
-    /// A process's row was dropped.
+    /// A process's row was deleted.
     NodeRemoved(String),
     /// The ownership row changed.
     OwnerChanged,
-    /// A row does not hold what its key says.
+    /// A row cannot be parsed as its key requires.
     Malformed {
         /// The key.
         key: String,
@@ -69,21 +69,21 @@
 }
 
 impl JobView {
-    /// Takes in how far the job is. An older row that comes late changes nothing:
-    /// a client that was told that its job has ended must not be told otherwise.
+    /// Applies a job's progress, recorded at this version of its row. An older version is
+    /// ignored: a client that saw its job end must not see it running again.
     pub fn update_progress(&mut self, progress: Progress, version: u64) {
-        if version >= self.told {
+        if version >= self.progress_version {
             self.progress = Some(progress);
-            self.told = version;
+            self.progress_version = version;
         }
     }
 
-    /// How far the job is by its row, and the row's version.
+    /// The recorded progress and the version of its row.
     pub fn recorded_progress(&self) -> Option<(Progress, u64)> {
-        self.progress.clone().map(|progress| (progress, self.told))
+        self.progress.clone().map(|progress| (progress, self.progress_version))
     }
 
-    /// The job's state as a client is told.
+    /// The job's state as shown to clients: a cancelled job that has not ended counts as cancelled.
     pub fn state(&self) -> State {
         let state = self.progress.as_ref().map_or(State::Queued, |progress| progress.state);
         if self.cancelled && !state.ended() { State::Cancelled } else { state }
@@ -91,40 +91,40 @@
 }
 
 impl Mirror {
-    /// Takes all rows in anew, as of a version, and tells what they mean. What was
-    /// known of a later version stays.
+    /// Replaces the content by all rows of the table as of a version, and returns the events.
+    /// Rows known at a later version are kept.
     pub fn reload(&mut self, changes: &[Change], version: u64) -> Vec<RowEvent> {
         let known = std::mem::take(&mut self.jobs);
-        let (owner, last) = (self.owner.take(), self.last.take());
-        *self = Mirror { owner, last, version, ..Mirror::default() };
-        let news = changes.iter().filter_map(|change| self.apply(change)).collect();
+        let (owner, last_owner) = (self.owner.take(), self.last_owner.take());
+        *self = Mirror { owner, last_owner, version, ..Mirror::default() };
+        let events = changes.iter().filter_map(|change| self.apply(change)).collect();
         for (id, view) in known {
             let later = view.job.as_ref().is_some_and(|(_, stored)| *stored > version);
-            if view.told > version
+            if view.progress_version > version
                 && let (Some(progress), Some(now)) = (view.progress.clone(), self.jobs.get_mut(&id))
             {
-                now.update_progress(progress, view.told);
+                now.update_progress(progress, view.progress_version);
             }
             // Stored since the rows were read.
             if later {
                 self.jobs.entry(id).or_insert(view);
             }
         }
-        news
+        events
     }
 
-    /// Takes in the changes up to a version, and tells what they mean. Two calls may be under
-    /// way to the table: those that are in already change nothing, or the row of an agent
-    /// that was dropped and written again would be dropped once more.
+    /// Applies the changes up to a version, and returns the events. Two reads of the change feed
+    /// may overlap, so changes that are already applied are skipped: otherwise an agent's row that
+    /// was deleted and written again would be deleted once more.
     pub fn apply_changes(&mut self, changes: &[Change], version: u64) -> Vec<RowEvent> {
         let known = self.version;
         let new = changes.iter().filter(|change| change.version > known);
-        let news = new.filter_map(|change| self.apply(change)).collect();
+        let events = new.filter_map(|change| self.apply(change)).collect();
         self.version = known.max(version);
-        news
+        events
     }
 
-    /// Takes a change in and tells what it means.
+    /// Applies one change and returns its event, if any.
     pub fn apply(&mut self, change: &Change) -> Option<RowEvent> {
         if change.key == OWNER_KEY {
             return self.apply_owner(change);
@@ -145,7 +145,7 @@
                 None
             }),
             "save" => serde_json::from_str(value).map(|saved| {
-                // The row may be told after the job's rows were dropped.
+                // The row may arrive after the job's rows were deleted.
                 if let Some(view) = self.jobs.get_mut(name) {
                     view.saved = saved;
                 }
@@ -165,50 +165,49 @@
         read.unwrap_or_else(|error| Some(malformed(change, error.to_string())))
     }
 
-    /// How many entries should own before this one: those on larger machines, and of
-    /// machines that are alike those whose names come first. Whoever owned last is no
-    /// candidate: it is replaced because it cannot go on.
+    /// The number of entries that precede this one as candidates for the ownership: those on
+    /// larger machines, and of equal machines those with a lesser name. The last owner is no
+    /// candidate, since it is being replaced.
     ///
-    /// An owner's work grows with the workers. One on an eighth of a core beside 160
-    /// workers fell behind what agents told it, did not renew its row in time, and was
-    /// replaced though it lived; half a core bears them.
+    /// An owner's load grows with the number of workers. On an eighth of a core with 160 workers
+    /// an owner falls behind its agents' reports, does not renew its row in time, and is replaced
+    /// although it is running; half a core is enough.
     pub fn candidate_rank(&self, name: &str) -> usize {
-        let last = |other: &str| self.last.as_deref() == Some(other);
-        let Some(node) = self.nodes.get(name).filter(|_| !last(name)) else {
+        let is_last = |other: &str| self.last_owner.as_deref() == Some(other);
+        let Some(node) = self.nodes.get(name).filter(|_| !is_last(name)) else {
             return self.nodes.len();
         };
         let mine = (Reverse(node.size), name);
         let candidates = self.nodes.iter().filter(|(_, node)| node.entry);
         let before = candidates
-            .filter(|(other, node)| !last(other) && (Reverse(node.size), other.as_str()) < mine);
+            .filter(|(other, node)| !is_last(other) && (Reverse(node.size), other.as_str()) < mine);
         before.count()
     }
 
-    /// Jobs that ended so long ago that nobody asks for them any more, at most
-    /// `most` of them. Without dropping their rows the table and every
-    /// process's memory would grow for ever.
-    pub fn expired_jobs(&mut self, now: u64, keep: u64, most: usize) -> Vec<Id> {
-        let Mirror { jobs, ended, .. } = self;
-        ended.retain(|id, _| jobs.contains_key(id));
+    /// Jobs that ended at least `retention` milliseconds ago, at most `limit` of them. Their rows
+    /// are deleted, or the table and every process's memory would grow without bound.
+    pub fn expired_jobs(&mut self, now: u64, retention: u64, limit: usize) -> Vec<Id> {
+        let Mirror { jobs, ended_at, .. } = self;
+        ended_at.retain(|id, _| jobs.contains_key(id));
         for (id, _) in jobs.iter().filter(|(_, view)| view.state().ended()) {
-            ended.entry(id.clone()).or_insert(now);
+            ended_at.entry(id.clone()).or_insert(now);
         }
-        let old = ended.iter().filter(|(_, since)| now >= **since + keep);
-        old.take(most).map(|(id, _)| id.clone()).collect()
+        let expired = ended_at.iter().filter(|(_, since)| now >= **since + retention);
+        expired.take(limit).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Jobs of a queue that no task has started of.
+    /// The number of jobs of a queue of which no task has started.
     pub fn queued_jobs(&self, queue: &str) -> usize {
-        let waits = |view: &&JobView| {
+        let queued = |view: &&JobView| {
             let job = view.job.as_ref().map(|(job, _)| job);
-            let here = job.is_some_and(|job| job.queue.name == queue);
-            here && view.state() == State::Queued
+            let in_queue = job.is_some_and(|job| job.queue.name == queue);
+            in_queue && view.state() == State::Queued
         };
-        self.jobs.values().filter(waits).count()
+        self.jobs.values().filter(queued).count()
     }
 
-    /// A job that no entry would have accepted is nobody's: decided over, a step that
-    /// waits for one that is not there would stand still for ever.
+    /// Applies a job's row. A job that no entry would have accepted is left out: a step that
+    /// depends on one that does not exist would wait forever.
     fn read_job(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
         let job: Result<Job, String> = serde_json::from_str(value).map_err(|e| e.to_string());
         match job.and_then(|job| job.check().map(|()| job).map_err(|e| e.to_string())) {
@@ -221,14 +220,14 @@
         }
     }
 
-    /// A process that cannot be reached is none: an owner would wait a lease for what
-    /// runs at an agent that nobody has started.
+    /// Applies a process's row. A row without a valid address is left out: a new owner would wait
+    /// a whole lease for the runs of an agent that does not exist.
     fn read_node(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
         let node: Result<Node, String> = serde_json::from_str(value).map_err(|e| e.to_string());
         match node {
             Err(detail) => malformed(change, detail),
             Ok(node) if node.address.parse::<SocketAddr>().is_err() => {
-                malformed(change, format!("{:?} is no address", node.address))
+                malformed(change, format!("{:?} is not an address", node.address))
             }
             Ok(node) => {
                 self.nodes.insert(name.to_owned(), node);
@@ -245,14 +244,14 @@
         match serde_json::from_str::<Ownership>(value) {
             Ok(owner) => {
                 if !owner.holder.is_empty() {
-                    self.last = Some(owner.holder.clone());
+                    self.last_owner = Some(owner.holder.clone());
                 }
                 self.owner = Some((owner, change.version));
                 Some(RowEvent::OwnerChanged)
             }
             Err(error) => {
-                // A claim must name the version that it replaces, or nobody could own
-                // the deployment any more.
+                // A claim must name the version that it replaces. Without the malformed row's
+                // version no entry could claim the ownership any more.
                 let known = self.owner.take().map(|(owner, _)| owner).unwrap_or_default();
                 self.owner = Some((known, change.version));
                 Some(malformed(change, error.to_string()))
