--- a/crates/dispatch/src/batch.rs
+++ b/crates/dispatch/src/batch.rs
@@ -4,30 +4,30 @@
 use crate::rows;
 use crate::times::Times;
 
-/// What the owner wants recorded in one transaction.
+/// State that the owner records in one transaction.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
     /// Jobs whose progress changed.
     pub jobs: Vec<(Id, Progress)>,
-    /// What workers may forget once the batch is recorded.
+    /// Ends that workers may forget once the batch is recorded.
     pub acknowledged: Vec<AcknowledgedEnds>,
-    /// Waves of maintenance that are new, or through.
+    /// Waves of maintenance that are new or complete.
     pub waves: Vec<(u64, rows::WaveRecord)>,
-    /// Agents that are no members any more.
+    /// Agents whose rows are deleted.
     pub departed: Vec<String>,
-    /// Checkpoints of jobs whose tasks saved more.
+    /// Checkpoints of jobs whose tasks have newer ones than recorded.
     pub checkpoints: Vec<(Id, Checkpoints)>,
-    /// Run times, if more were learned since the last batch.
+    /// Learned run times, if they changed since the last batch.
     pub times: Option<Times>,
 }
 
-/// Ends up to `number` of one incarnation of a worker.
+/// The ends of one incarnation of a worker up to a number.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AcknowledgedEnds {
     /// The worker's agent.
     pub agent: String,
-    /// Which incarnation of the worker.
+    /// The incarnation of the worker.
     pub worker: Incarnation,
-    /// The last of the ends.
+    /// The number of the last end.
     pub number: u64,
 }
--- a/crates/dispatch/src/checkpoints.rs
+++ b/crates/dispatch/src/checkpoints.rs
@@ -6,27 +6,26 @@
 
 /// The newest checkpoints of a job's tasks, as its row in the table holds them.
 ///
-/// Workers tell them, and keep them only as long as they have power. Where all
-/// lose it at once, every job would begin anew; with the row, it loses no more
-/// than what was done since the last record.
+/// Workers report checkpoints and keep them in memory only. If all workers lose power at once,
+/// jobs continue from the recorded checkpoints and lose only the work done since.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Checkpoints {
-    /// Occurrence, step, index of the task or 0 for a gang, and the checkpoint.
+    /// Occurrence, step, index of the task (0 for a gang), and the checkpoint.
     tasks: Vec<(u32, u32, u32, String)>,
 }
 
-/// Most checkpoints in one row. A row holds 64 KiB, and a checkpoint with its
-/// task's numbers takes some 40 bytes.
-const MOST: usize = 1000;
+/// Most checkpoints in one row. A row holds 64 KiB, and a checkpoint with its task's numbers takes
+/// about 40 bytes.
+const MAX_CHECKPOINTS: usize = 1000;
 
 impl Checkpoints {
-    /// A record of these checkpoints.
+    /// A row of these checkpoints, at most [`MAX_CHECKPOINTS`] of them.
     pub(crate) fn new<'a>(tasks: impl Iterator<Item = (&'a Key, &'a String)>) -> Checkpoints {
         let row = |(key, saved): (&Key, &String)| (key.0, key.1, key.2, saved.clone());
-        Checkpoints { tasks: tasks.map(row).take(MOST).collect() }
+        Checkpoints { tasks: tasks.map(row).take(MAX_CHECKPOINTS).collect() }
     }
 
-    /// The checkpoints by task.
+    /// The checkpoints by task key.
     pub(crate) fn by_task(&self) -> BTreeMap<Key, String> {
         let row = |(occurrence, step, index, saved): &(u32, u32, u32, String)| {
             ((*occurrence, *step, *index), saved.clone())
--- a/crates/dispatch/src/dismissal.rs
+++ b/crates/dispatch/src/dismissal.rs
@@ -1,7 +1,7 @@
-//! Agents whose rows are dropped, or were.
+//! Agents whose rows are being deleted or have been.
 //!
-//! A later owner waits for agents that have rows. An agent without one must get no work
-//! and no lease: a later owner would start elsewhere what runs there.
+//! A new owner waits only for agents that have rows. An agent without a row must get no work and no
+//! lease, or a new owner would start its tasks a second time elsewhere.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 use crate::output::Output;
 use crate::owner::Owner;
 
-/// What stays of agents that were dismissed, until they announce themselves.
+/// State kept of dismissed agents until they announce themselves again.
 #[derive(Debug, Default)]
 pub(crate) struct Dismissal {
-    former: BTreeMap<String, Former>,
+    former: BTreeMap<String, DismissedAgent>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Former {
-    /// All leases that were granted through the agent have lapsed by then.
+struct DismissedAgent {
+    /// When all leases granted through the agent have expired, in milliseconds.
     lapse: u64,
-    /// For how long its worker had owed an answer.
+    /// For how long its worker had owed an answer, in milliseconds.
     silent: u64,
 }
 
@@ -29,13 +29,13 @@
         self.former.contains_key(name)
     }
 
-    /// True if all that ran at a dismissed agent has lapsed.
+    /// True if the agent was dismissed and all its leases have expired.
     pub fn has_lapsed(&self, name: &str, now: u64) -> bool {
         self.former.get(name).is_some_and(|former| now >= former.lapse)
     }
 
-    /// What is known of an agent that announces itself again. Its worker gets nothing
-    /// new on the strength of an old answer: the first ping tells how silent it is.
+    /// Restores the state of a dismissed agent that announces itself again. Its worker stays
+    /// unresponsive until the first ping reports otherwise, so an old answer gets it no work.
     pub fn readmit(&mut self, name: &str, agent: Agent) -> Agent {
         let Some(former) = self.former.remove(name) else { return agent };
         Agent { lapse: agent.lapse.max(former.lapse), silent: former.silent, ..agent }
@@ -43,13 +43,13 @@
 }
 
 impl Owner {
-    /// The rows of these agents are about to be dropped. Nothing starts there while
-    /// the write is under way, or a run would belong to no member once it is done.
-    pub(crate) fn set_dropping(&mut self, names: &[String], begun: bool) {
+    /// Marks whether the rows of these agents are being deleted. Nothing starts there while the
+    /// write is in flight, or a run could end up at an agent that is no member.
+    pub(crate) fn set_dropping(&mut self, names: &[String], dropping: bool) {
         for name in names {
             if let Some(agent) = self.agents.get_mut(name) {
-                agent.dropping = begun;
-                self.replan |= !begun;
+                agent.dropping = dropping;
+                self.replan |= !dropping;
             }
         }
     }
@@ -59,18 +59,18 @@
         self.dismissal.contains(name)
     }
 
-    /// The table's feed tells that an agent's row was dropped. The agent may have
-    /// announced itself just before that, and the feed told it just now.
+    /// Handles the deletion of an agent's row, as read from the table's changes. The agent may
+    /// have announced itself just before, with both changes read now.
     pub fn on_row_removed(&mut self, name: &str) {
         self.dismiss(name);
     }
 
-    /// An agent's row is gone: it must announce itself before work goes there.
+    /// Removes an agent whose row was deleted. It must announce itself again to get work.
     pub(crate) fn dismiss(&mut self, name: &str) {
         self.attribute_crash(name);
         let Some(agent) = self.agents.remove(name) else { return };
         self.log("agent dismissed", name, "no connection or worker".to_owned());
-        let former = Former { lapse: agent.lapse, silent: agent.silent };
+        let former = DismissedAgent { lapse: agent.lapse, silent: agent.silent };
         self.dismissal.former.insert(name.to_owned(), former);
         if let Some(link) = agent.link {
             self.links.remove(&link);
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -1,5 +1,7 @@
-//! What must be in the table: jobs' progress before workers may forget their
-//! ends, checkpoints, learned run times, and who is a member no more.
+//! Batches of state that the owner records in the table.
+//!
+//! Workers may forget the ends of their runs only after the progress of the jobs is recorded.
+//! Batches also hold checkpoints, learned run times, waves of maintenance and departed agents.
 
 use std::collections::BTreeSet;
 
@@ -12,21 +14,21 @@
 use crate::entry::Entry;
 use crate::owner::Owner;
 
-/// Most jobs in one transaction. The table takes 100 rows; the rest is for the
-/// owner's own, checkpoints, and rows that are dropped.
-const BATCH: usize = 50;
+/// Most jobs in one transaction. The table accepts 100 rows; the others are for the owner's row,
+/// checkpoints and deleted rows.
+const MAX_JOBS: usize = 50;
 /// Most jobs whose checkpoints are in one transaction.
-const SAVED: usize = 15;
-/// Most members that one transaction drops.
-const GONE: usize = 8;
+const MAX_CHECKPOINTED_JOBS: usize = 15;
+/// Most departed agents whose rows one transaction deletes.
+const MAX_DEPARTED: usize = 8;
 
 impl Owner {
-    /// What is to be recorded now; none if a record is under way.
+    /// The next batch to record; none while one is in flight. [`Owner::on_recorded`] must follow.
     pub fn next_batch(&mut self) -> Option<Batch> {
         if self.recording {
             return None;
         }
-        let ids: Vec<Id> = self.dirty.iter().take(BATCH).cloned().collect();
+        let ids: Vec<Id> = self.dirty.iter().take(MAX_JOBS).cloned().collect();
         let mut batch =
             Batch { times: self.learned.then(|| self.times.clone()), ..Batch::default() };
         self.learned = false;
@@ -44,22 +46,22 @@
             }
             self.urgent = false;
         }
-        batch.departed = self.gone().into_iter().take(GONE).collect();
+        batch.departed = self.departed_agents().into_iter().take(MAX_DEPARTED).collect();
         self.set_dropping(&batch.departed, true);
-        batch.checkpoints = self.unsaved();
+        batch.checkpoints = self.due_checkpoints();
         batch.waves = self.unrecorded_waves();
         self.recording = true;
         Some(batch)
     }
 
-    /// Checkpoints that are to be recorded: one record a job in a while, along
-    /// with what is written anyway.
-    fn unsaved(&mut self) -> Vec<(Id, Checkpoints)> {
-        let (now, keep) = (self.now, self.settings.checkpoint_interval);
-        let due = |entry: &&mut Entry| entry.unsaved && now >= entry.kept + keep;
+    /// Checkpoints that are due: each job's are recorded at most once per
+    /// `checkpoint_interval`, along with other changes.
+    fn due_checkpoints(&mut self) -> Vec<(Id, Checkpoints)> {
+        let (now, interval) = (self.now, self.settings.checkpoint_interval);
+        let due = |entry: &&mut Entry| entry.unsaved && now >= entry.kept + interval;
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter_mut() {
-            if found.len() < SAVED && due(&entry) {
+            if found.len() < MAX_CHECKPOINTED_JOBS && due(&entry) {
                 entry.unsaved = false;
                 entry.kept = now;
                 found.push((id.clone(), entry.checkpoints(id)));
@@ -68,16 +70,16 @@
         found
     }
 
-    /// Agents that are no members any more: gone, or without a worker, for so
-    /// long that nothing runs there, or whose worker said that it ends.
+    /// Agents whose rows are to be deleted: their worker has shut down, or there has been no
+    /// connection or no worker for longer than any lease, and no run is recorded there.
     ///
-    /// A new owner waits for all members before it starts older jobs. Without
-    /// this it would wait a whole lease for each machine that was ever taken
-    /// away: 6 s in which work stood still after every change of owner.
-    fn gone(&self) -> Vec<String> {
+    /// A new owner waits for all members before it starts older jobs. Without this it would wait
+    /// for the lease of every machine that was ever removed, which delays work by 6 s after each
+    /// change of owner.
+    fn departed_agents(&self) -> Vec<String> {
         let bound =
             self.settings.lease + self.settings.lease_margin + self.settings.absence_timeout;
-        let gone = |agent: &Agent| {
+        let departed = |agent: &Agent| {
             let absent = agent.absent.is_some_and(|since| self.now >= since + bound);
             self.settled && (agent.left || absent)
         };
@@ -86,22 +88,24 @@
             .values()
             .flat_map(|entry| entry.runs.values().map(|placed| placed.agent.as_str()))
             .collect();
-        let names =
-            self.agents.iter().filter(|(name, agent)| gone(agent) && !runs.contains(name.as_str()));
+        let names = self
+            .agents
+            .iter()
+            .filter(|(name, agent)| departed(agent) && !runs.contains(name.as_str()));
         names.map(|(name, _)| name.clone()).collect()
     }
 
-    /// True if callers wait for what is to be recorded.
+    /// True if clients wait for a change that is not recorded yet.
     pub fn has_urgent_changes(&self) -> bool {
         self.urgent
     }
 
-    /// True if something is to be recorded.
+    /// True if there are unrecorded changes or unacknowledged ends.
     pub fn has_unrecorded(&self) -> bool {
         !self.dirty.is_empty() || self.agents.values().any(|agent| agent.noted > agent.seen)
     }
 
-    /// A batch was recorded, or was not.
+    /// Handles the result of recording a batch. If it is not `done`, its content becomes due again.
     pub fn on_recorded(&mut self, batch: &Batch, done: bool) {
         self.recording = false;
         if !done {
@@ -122,11 +126,11 @@
             }
             return;
         }
-        for seen in &batch.acknowledged {
-            self.forget(seen);
+        for ends in &batch.acknowledged {
+            self.acknowledge(ends);
         }
         for name in &batch.departed {
-            // One that has announced itself since then is a member again.
+            // An agent that has announced itself since then is a member again.
             if self.agents.get(name).is_some_and(|agent| agent.dropping) {
                 self.dismiss(name);
             }
@@ -140,12 +144,13 @@
         }
     }
 
-    fn forget(&mut self, seen: &AcknowledgedEnds) {
-        let Some(agent) = self.agents.get_mut(&seen.agent) else { return };
-        if agent.worker.as_ref().is_some_and(|worker| worker.is(&seen.worker)) {
-            agent.seen = agent.seen.max(seen.number);
+    /// Notifies the worker that its ends up to a number are recorded and may be forgotten.
+    fn acknowledge(&mut self, ends: &AcknowledgedEnds) {
+        let Some(agent) = self.agents.get_mut(&ends.agent) else { return };
+        if agent.worker.as_ref().is_some_and(|worker| worker.is(&ends.worker)) {
+            agent.seen = agent.seen.max(ends.number);
             if let Some(link) = agent.link {
-                let (worker, number) = (seen.worker.clone(), seen.number);
+                let (worker, number) = (ends.worker.clone(), ends.number);
                 self.send(link, Order::Seen { worker, number });
             }
         }
--- a/crates/dispatch/src/rows.rs
+++ b/crates/dispatch/src/rows.rs
@@ -1,11 +1,9 @@
-//! The system's rows in the table: their keys and what they hold.
+//! The system's rows in the table: their keys and content.
 //!
-//! An entry writes `job/ID` when it accepts a job and `stop/ID` when a client
-//! cancels it; the owner writes `run/ID`, the job's progress, and
-//! `save/ID`, its
-//! checkpoints, and `times`, learned run
-//! times, and `wave/N`, when it first saw a wave; every process writes
-//! `node/NAME`; the owner and whoever replaces it write `owner`.
+//! An entry writes `job/ID` when it accepts a job and `stop/ID` when a client cancels it. The
+//! owner writes `run/ID`, a job's progress; `save/ID`, its checkpoints; `times`, the learned run
+//! times; and `wave/N`, when it first saw a wave of maintenance. Every process writes
+//! `node/NAME`. The owner and the entry that replaces it write `owner`.
 
 use quincewheel_store::{Commit, Put};
 use serde::{Deserialize, Serialize};
@@ -13,20 +11,21 @@
 /// Key of the ownership row.
 pub const OWNER_KEY: &str = "owner";
 
-/// Key of the row that holds the run times which owners have learned.
+/// Key of the row that holds the learned run times.
 pub const TIMES_KEY: &str = "times";
 
-/// Parts of the table over which clients' jobs and cancellations are spread. A part takes
-/// one transaction after the other: while a slow table takes 180 ms for each, a single one
-/// takes 5 a second, of which the owner's own writes need all, and refuses what waits for
-/// longer than a second. Clients then wait for seconds, with 200 jobs accepted in 34 s. An
-/// eighth of them is less than one a second for each part.
+/// Parts of the table over which job and cancellation rows are distributed.
+///
+/// A part processes its transactions one at a time. A slow table takes 180 ms for each, so a
+/// single part handles 5 a second, all of which the owner's own writes need, and rejects those
+/// that wait for more than a second: clients wait for seconds, and accepting 200 jobs takes
+/// 34 s. With eight parts each gets less than one client transaction a second.
 const JOB_PARTS: [&str; 8] = ["0", "1", "2", "3", "4", "5", "6", "7"];
 
-/// The part that the owner's rows and members' lie in.
+/// The part that holds all other rows.
 const MAIN_PART: &str = "";
 
-/// The part of the table that a row lies in.
+/// The part of the table that holds a row.
 pub fn part_of(key: &str) -> &'static str {
     match key.split_once('/') {
         Some(("job" | "stop", id)) => {
@@ -37,8 +36,8 @@
     }
 }
 
-/// All parts that hold rows, jobs first: their checkpoints, which are in the main one, are
-/// taken in only after them.
+/// All parts that hold rows. The parts with jobs come first, since checkpoints in the main part
+/// are applied only to known jobs.
 pub fn parts() -> impl Iterator<Item = &'static str> {
     JOB_PARTS.into_iter().chain([MAIN_PART])
 }
@@ -48,13 +47,13 @@
     format!("job/{id}")
 }
 
-/// Key of the row that tells how far a job is.
+/// Key of the row that holds a job's progress.
 pub fn progress_key(id: &str) -> String {
     format!("run/{id}")
 }
 
-/// Key of the row that cancels a job. It stays when the job is unknown, so
-/// that a submission which a network holds up finds it.
+/// Key of the row that cancels a job. It is also written for an unknown job, so that a submission
+/// delayed by the network finds it.
 pub fn cancellation_key(id: &str) -> String {
     format!("stop/{id}")
 }
@@ -69,71 +68,70 @@
     format!("node/{name}")
 }
 
-/// Key of the row that tells when a wave of maintenance was first seen.
+/// Key of the row that records when a wave of maintenance was first seen.
 pub fn wave_key(number: u64) -> String {
     format!("wave/{number}")
 }
 
-/// What owners know of a wave of maintenance.
+/// What is recorded of a wave of maintenance.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WaveRecord {
     /// When it was first seen, in milliseconds since 1970.
     pub at: u64,
-    /// All its machines have begun. A later owner must not begin anew.
+    /// True if all its machines have been taken down. A later owner must not restart the wave.
     #[serde(default)]
     pub done: bool,
 }
 
-/// Who owns the deployment.
+/// The ownership of the deployment.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Ownership {
-    /// The entry; empty if the last one handed over.
+    /// The name of the owning entry; empty after a hand-over.
     pub holder: String,
-    /// Drawn when its process started.
+    /// The random incarnation number of the holder's process.
     pub incarnation: u64,
-    /// Rises with each change of owner.
+    /// Incremented with each change of owner.
     pub epoch: u64,
-    /// Rises with each record of one owner.
+    /// Incremented with each write by the same owner.
     pub sequence: u64,
-    /// Nothing that an owner before this one started can be unknown any more.
+    /// True once this owner knows of everything that earlier owners started.
     #[serde(default)]
     pub settled: bool,
 }
 
 impl Ownership {
-    /// True if no owner up to this one grants a lease any more, as the entry `name`
-    /// can tell at its own claim: the holder handed over, or was this very entry,
-    /// whose former incarnation has ended. That holds for the owners before only if the
-    /// holder had outlived what they granted; one that was cut off may not know yet
-    /// that it was replaced twice.
+    /// True if neither this owner nor an earlier one still grants leases, as far as the entry
+    /// `name` can tell when it claims: the holder handed over, or it was a former incarnation of
+    /// the same entry. For earlier owners this holds only if the holder had settled, that is,
+    /// outlived their leases: a partitioned owner may not know yet that it was replaced twice.
     pub fn grants_ended(&self, name: &str) -> bool {
         self.settled && (self.holder.is_empty() || self.holder == name)
     }
 }
 
-/// Where a process of the system is.
+/// The address and kind of a process.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Node {
-    /// Where other processes reach it.
+    /// The address at which other processes reach it.
     pub address: String,
-    /// It is an entry, not an agent.
+    /// True for an entry, false for an agent.
     #[serde(default)]
     pub entry: bool,
-    /// What its machine gives it; nothing is known of an agent's.
+    /// The resources of its machine; zero for an agent.
     #[serde(default)]
     pub size: Size,
 }
 
-/// What a machine gives a process. The order is that of how much an owner could do there.
+/// The resources that a machine gives a process. Ordered by how much load an owner could bear.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Size {
     /// Processor time, in thousandths of a core.
     pub processor: u64,
-    /// Of its link, in Mbit/s.
+    /// Bandwidth of its network link, in Mbit/s.
     pub link: u64,
 }
 
-/// The write by which a process tells where it is.
+/// The write by which a process announces its address.
 pub fn announcement(name: &str, node: &Node) -> Commit {
     let value = serde_json::to_string(node).expect("rows are plain data");
     Commit { put: vec![Put { key: self::node_key(name), value }], ..Commit::default() }
--- a/crates/dispatch/src/settlement.rs
+++ b/crates/dispatch/src/settlement.rs
@@ -1,38 +1,38 @@
-//! The members that a new owner waits for.
+//! Logs the members that a new owner waits for before it starts older jobs.
 
 use crate::detail::list;
 use crate::lack::Lack;
 use crate::owner::Owner;
 use crate::waits::BOUND;
 
-/// Time between two lines about them, in milliseconds.
-const PAUSE: u64 = 1000;
-/// Time between two looks at them, in milliseconds: time passes for an owner
-/// with each report, too, and each look takes in all members.
-const LOOK: u64 = 100;
+/// Shortest time between two log lines about the members.
+const LOG_INTERVAL_MS: u64 = 1000;
+/// Shortest time between two scans of the members. An owner ticks with each report, and each scan
+/// covers all members.
+const SCAN_INTERVAL_MS: u64 = 100;
 
-/// What was told of the members that an owner waits for.
+/// What was last logged of the members that an owner waits for.
 #[derive(Debug, Default)]
 pub(crate) struct SettlementLog {
-    /// The members, and what each lacks.
-    told: Vec<(String, Lack)>,
-    /// No look before this time.
-    next: u64,
+    /// The members, with what each lacks.
+    logged: Vec<(String, Lack)>,
+    /// When the members are next scanned.
+    next_scan: u64,
 }
 
 impl Owner {
-    /// Tells whom older jobs wait for, and why, once for all of them.
+    /// Logs which members older jobs wait for, and why: one line for all jobs.
     pub(crate) fn log_unsettled(&mut self, now: u64, wall: u64) {
         let waited = now - self.claimed;
-        if self.settled || waited < BOUND || now < self.awaited.next {
+        if self.settled || waited < BOUND || now < self.awaited.next_scan {
             return;
         }
-        let members = self.members(now);
-        if members == self.awaited.told {
-            self.awaited.next = now + LOOK;
+        let members = self.awaited_members(now);
+        if members == self.awaited.logged {
+            self.awaited.next_scan = now + SCAN_INTERVAL_MS;
             return;
         }
-        self.awaited.next = now + PAUSE;
+        self.awaited.next_scan = now + LOG_INTERVAL_MS;
         let steps = self.refresh_held_back(wall);
         if steps == 0 {
             return;
@@ -40,11 +40,11 @@
         let names = members.iter().map(|(name, lack)| format!("{name} {}", lack.name())).collect();
         let names = list(names);
         self.log("unsettled", "", format!("{waited} ms; {steps} older steps wait for {names}"));
-        self.awaited.told = members;
+        self.awaited.logged = members;
     }
 
-    /// The members that may run what a former owner started, and what each lacks.
-    fn members(&self, now: u64) -> Vec<(String, Lack)> {
+    /// The members that may still run tasks started by a former owner, with what each lacks.
+    fn awaited_members(&self, now: u64) -> Vec<(String, Lack)> {
         let (last, lease) = self.former_grants();
         let agents = self.agents.iter().filter(|(_, agent)| !agent.clear(last, lease, now));
         let lack = |agent| Lack::of(agent, &self.settings, self.now).unwrap_or(Lack::Answer);
--- a/crates/dispatch/src/unanswered_writes.rs
+++ b/crates/dispatch/src/unanswered_writes.rs
@@ -2,30 +2,29 @@
 
 use quincewheel_job::Id;
 
-/// Submissions whose write got no answer.
+/// Submissions whose write to the table got no answer.
 ///
-/// Such a write may have taken effect, or may yet, seconds later. Until the
-/// job's row is seen, nobody may be told that the job was not accepted: the
-/// client would give it up, or submit its work under another name, while it
-/// runs.
+/// Such a write may have taken effect or may do so seconds later. Until the job's row is read, no
+/// client may get the answer that the job was not accepted: the client would give up, or submit the
+/// work under another id, while the job runs.
 #[derive(Debug, Default)]
 pub struct UnansweredWrites {
     since: BTreeMap<Id, u64>,
 }
 
-/// A write that got no answer is remembered for so many milliseconds: many
-/// times what one was ever seen to take, and longer than clients ask again.
-const KEPT: u64 = 120_000;
-/// Most writes that are remembered; the oldest go first.
-const MOST: usize = 10_000;
+/// How long an unanswered write is remembered: many times longer than a write takes, and longer
+/// than clients retry.
+const RETENTION_MS: u64 = 120_000;
+/// Most writes that are remembered; the oldest are evicted first.
+const MAX_WRITES: usize = 10_000;
 
 impl UnansweredWrites {
-    /// A write for this job got no answer.
+    /// Records that the write of a job got no answer.
     pub fn record(&mut self, id: &str, now: u64) {
-        if self.since.len() >= MOST {
-            self.since.retain(|_, since| now < *since + KEPT);
+        if self.since.len() >= MAX_WRITES {
+            self.since.retain(|_, since| now < *since + RETENTION_MS);
         }
-        if self.since.len() >= MOST {
+        if self.since.len() >= MAX_WRITES {
             let oldest = self.since.iter().min_by_key(|(_, since)| **since);
             if let Some(id) = oldest.map(|(id, _)| id.clone()) {
                 self.since.remove(&id);
@@ -34,13 +33,13 @@
         self.since.insert(id.to_owned(), now);
     }
 
-    /// The job's row was seen.
+    /// Forgets a job whose row was read.
     pub fn resolve(&mut self, id: &str) {
         self.since.remove(id);
     }
 
-    /// True if "not accepted" may be untrue for this job.
+    /// True if it is unknown whether the job was accepted.
     pub fn contains(&self, id: &str, now: u64) -> bool {
-        self.since.get(id).is_some_and(|since| now < *since + KEPT)
+        self.since.get(id).is_some_and(|since| now < *since + RETENTION_MS)
     }
 }
--- a/crates/dispatch/src/unconfirmed_jobs.rs
+++ b/crates/dispatch/src/unconfirmed_jobs.rs
@@ -1,38 +1,37 @@
 use quincewheel_job::Id;
 
-/// Jobs that were told to this owner and that it may not decide over yet, with the
+/// Jobs that entries sent directly to this owner and that it may not schedule yet, with the
 /// versions of their rows.
 ///
-/// Another entry may have claimed the ownership before such a job was stored, and starts
-/// it at once; an owner that does not know of that claim yet would start it, too. The
-/// feed tells the claim first. A job that is told past the feed waits for a write of
-/// this owner that the table performs after the job's: its condition is that nobody else
-/// has claimed.
+/// Another entry may have claimed the ownership before such a job was stored and start it at
+/// once; an owner that does not know of that claim would start it, too. The table's change feed
+/// delivers the claim before the job. A job that bypassed the feed waits until the table performs a
+/// later write of this owner, which is conditional on no other entry having claimed.
 #[derive(Debug, Default)]
 pub struct UnconfirmedJobs {
     jobs: Vec<(Id, u64)>,
 }
 
 impl UnconfirmedJobs {
-    /// True if nothing waits.
+    /// True if no job waits.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// A job was told whose row has this version.
+    /// Adds a job whose row has this version.
     pub fn add(&mut self, id: &str, version: u64) {
         self.jobs.push((id.to_owned(), version));
     }
 
-    /// The ownership ended.
+    /// Drops all jobs, when the ownership has ended.
     pub fn clear(&mut self) {
         self.jobs.clear();
     }
 
-    /// The table performed a write of this owner that has this version. Returns the jobs
-    /// that were stored before it.
+    /// Takes and returns the jobs that were stored before a write of this owner, which the table
+    /// performed at this version.
     pub fn confirm(&mut self, version: u64) -> Vec<Id> {
-        let older = self.jobs.extract_if(.., |(_, stored)| *stored < version);
-        older.map(|(id, _)| id).collect()
+        let confirmed = self.jobs.extract_if(.., |(_, stored)| *stored < version);
+        confirmed.map(|(id, _)| id).collect()
     }
 }
--- a/crates/dispatch/src/unlisted.rs
+++ b/crates/dispatch/src/unlisted.rs
@@ -1,27 +1,27 @@
-//! Runs that are believed to go on at workers that answer and do not list them.
+//! Runs recorded as active at workers that answer but do not list them.
 
 use quincewheel_job::Id;
 
 use crate::entry::{Key, Phase, Placed};
 use crate::owner::{Owner, task};
 
-/// Time between two looks for such runs, in milliseconds: each goes through all runs.
-const SEEK: u64 = 1000;
+/// Shortest time between two scans for such runs. Each scan covers all runs.
+const SCAN_INTERVAL_MS: u64 = 1000;
 
 impl Owner {
-    /// How many there are, of those that were listed more than a second ago.
+    /// The number of such runs that have not been listed for more than a second.
     pub fn unlisted_runs(&self) -> usize {
-        self.not_listed_for(self.now, SEEK).len()
+        self.not_listed_for(self.now, SCAN_INTERVAL_MS).len()
     }
 
-    /// Stops runs that have not been listed for long.
+    /// Stops runs that have not been listed for `missing_timeout`.
     ///
-    /// The agent of an idle worker has nothing to report, so no report of it shows that a run
-    /// is missing. Such a run held its worker's room, and the rest of its gang back, for good.
-    /// A worker that was told to stop a run does not begin it any more, so that its task
-    /// may start elsewhere once the stop is confirmed and a look does not list it.
+    /// The agent of an idle worker sends no status, so no report shows that a run is missing.
+    /// Such a run would hold its worker's resources, and the rest of its gang, indefinitely. A
+    /// worker that received a stop never starts the run, so its task may start elsewhere once the
+    /// stop is confirmed and the next poll does not list the run.
     pub(crate) fn stop_unlisted(&mut self, now: u64) {
-        if now < self.sought + SEEK {
+        if now < self.sought + SCAN_INTERVAL_MS {
             return;
         }
         self.sought = now;
@@ -31,19 +31,20 @@
         }
     }
 
+    /// Active runs that their responsive workers have not listed for at least `bound`.
     fn not_listed_for(&self, now: u64, bound: u64) -> Vec<(Id, Key)> {
         let old = |placed: &Placed| placed.phase == Phase::Running && now >= placed.since + bound;
         let runs = self.jobs.iter().flat_map(|(id, entry)| entry.runs.iter().map(move |r| (id, r)));
         let missing =
-            runs.filter(|(id, (key, placed))| old(placed) && self.omits(id, **key, placed));
+            runs.filter(|(id, (key, placed))| old(placed) && self.is_unlisted(id, **key, placed));
         missing.map(|(id, (key, _))| (id.clone(), *key)).collect()
     }
 
-    /// True if the run's worker answers, and has not listed it last.
-    fn omits(&self, id: &str, key: Key, placed: &Placed) -> bool {
+    /// True if the run's worker answers and its last list does not contain the run.
+    fn is_unlisted(&self, id: &str, key: Key, placed: &Placed) -> bool {
         let Some(agent) = self.agents.get(&placed.agent) else { return false };
-        let there = agent.worker.as_ref().is_some_and(|worker| worker.is(&placed.worker));
+        let current = agent.worker.as_ref().is_some_and(|worker| worker.is(&placed.worker));
         let run = (task(id, key), placed.run);
-        there && agent.fenced && agent.link.is_some() && !agent.listed.contains(&run)
+        current && agent.fenced && agent.link.is_some() && !agent.listed.contains(&run)
     }
 }
