--- a/crates/dispatch/src/clearance.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -1,10 +1,9 @@
-//! Where a step is cleared to run, and until when.
+//! Clearance of steps for workers.
 //!
-//! A service outside the system knows which workers may run a step. It answers
-//! one call at a time and takes longer for each worker that it is asked for, so
-//! a step asks for a few workers, those with the most room first, and again for
-//! more only while tasks still have no place. What may run where does not
-//! change; a ticket that ran out is asked for anew.
+//! An external service decides which workers may run a step. It answers one call at a time, and a
+//! call's time grows with its number of workers. So a step requests clearance for a few workers, those
+//! with the most room first, and for more only while tasks have no place. A refusal is final, and
+//! an expired ticket is requested again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,29 +13,29 @@
 use crate::output::Output;
 use crate::owner::Owner;
 
-/// What is known about one step.
+/// The clearance of one step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Clearance {
-    /// Workers that were asked for and may not run it.
+    /// Workers that may not run the step.
     barred: BTreeSet<Incarnation>,
-    /// Tickets by worker: one ends with the incarnation that it was given for.
+    /// Tickets by worker. A ticket is valid only for the incarnation that it was issued for.
     tickets: BTreeMap<Incarnation, Ticket>,
-    /// No call before this time.
-    again: u64,
+    /// No request is sent before this time.
+    retry_at: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Ticket {
     text: String,
-    until: u64,
+    expires_at: u64,
 }
 
-/// A question to the service.
+/// A request to the service: which of these workers may run a step.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClearanceRequest {
     /// The job.
     pub job: Id,
-    /// Which time of a scheduled job.
+    /// The occurrence of a scheduled job.
     pub occurrence: u32,
     /// The step.
     pub step: u32,
@@ -44,43 +43,50 @@
     pub workers: Vec<Incarnation>,
 }
 
-/// Workers in one question: enough for most steps, and a call's time grows with
-/// each.
-const ASKED: usize = 12;
-/// A ticket is used only if it holds for so many milliseconds more: a start may
-/// be tried three times, 400 ms apart.
-const LEFT: u64 = 1300;
-/// Pause after a question that got no answer, in milliseconds.
-const PAUSE: u64 = 300;
+/// Most workers in one request. Enough for most steps; a call's time grows with each worker.
+const MAX_WORKERS: usize = 12;
+/// Shortest remaining validity of a ticket that is used. A start may be tried three times, 400 ms
+/// apart.
+const MIN_VALIDITY_MS: u64 = 1300;
+/// Delay before the next request after one that got no answer.
+const RETRY_DELAY_MS: u64 = 300;
 
 impl Clearance {
-    /// The ticket for a worker, if one holds for long enough.
+    /// The ticket for a worker, if it is valid for long enough.
     pub fn ticket(&self, worker: &Incarnation, now: u64) -> Option<&str> {
-        let held = self.tickets.get(worker).filter(|ticket| ticket.until >= now + LEFT);
+        let held =
+            self.tickets.get(worker).filter(|ticket| ticket.expires_at >= now + MIN_VALIDITY_MS);
         held.map(|ticket| ticket.text.as_str())
     }
 
-    /// For how many workers it is not cleared, and for how many it is.
+    /// The number of workers that may not run the step, and of those with a usable ticket.
     pub fn counts(&self, now: u64) -> (usize, usize) {
         let held = self.tickets.keys().filter(|worker| self.ticket(worker, now).is_some());
         (self.barred.len(), held.count())
     }
 
-    /// A worker refused the ticket.
+    /// Drops a ticket that its worker refused.
     pub fn drop_ticket(&mut self, worker: &Incarnation) {
         self.tickets.remove(worker);
     }
 
-    /// True if it makes sense to ask for the worker.
-    fn is_open(&self, worker: &Incarnation, now: u64) -> bool {
-        now >= self.again && !self.barred.contains(worker) && self.ticket(worker, now).is_none()
+    /// True if clearance for the worker may be requested now.
+    fn needs_request(&self, worker: &Incarnation, now: u64) -> bool {
+        now >= self.retry_at && !self.barred.contains(worker) && self.ticket(worker, now).is_none()
     }
 
-    fn learn(&mut self, question: &ClearanceRequest, good: &[(String, String)], until: u64) {
-        for worker in &question.workers {
-            match good.iter().find(|(id, _)| *id == worker.id) {
+    /// Records the answer to a request. `tickets` are pairs of a worker's id and its ticket; the
+    /// other workers of the request may not run the step.
+    fn record_answer(
+        &mut self,
+        request: &ClearanceRequest,
+        tickets: &[(String, String)],
+        expires_at: u64,
+    ) {
+        for worker in &request.workers {
+            match tickets.iter().find(|(id, _)| *id == worker.id) {
                 Some((_, text)) => {
-                    let ticket = Ticket { text: text.clone(), until };
+                    let ticket = Ticket { text: text.clone(), expires_at };
                     self.tickets.insert(worker.clone(), ticket);
                 }
                 None => {
@@ -92,34 +98,35 @@
 }
 
 impl Owner {
-    /// The service answered a question that was sent at `sent`, or did not.
+    /// Handles the answer to a request that was sent at `sent`: tickets by worker id, and for how
+    /// many milliseconds they are valid; none if no answer arrived.
     pub fn on_clearance(
         &mut self,
-        question: &ClearanceRequest,
+        request: &ClearanceRequest,
         answer: Option<(&[(String, String)], u64)>,
         sent: u64,
         now: u64,
     ) {
         self.asking = false;
         self.replan = true;
-        let Some(entry) = self.jobs.get_mut(&question.job) else { return };
-        let clearance = entry.clearances.entry((question.occurrence, question.step)).or_default();
+        let Some(entry) = self.jobs.get_mut(&request.job) else { return };
+        let clearance = entry.clearances.entry((request.occurrence, request.step)).or_default();
         match answer {
-            Some((good, valid)) => {
-                clearance.learn(question, good, sent + valid);
-                let detail = format!("{} of {} workers", good.len(), question.workers.len());
-                self.log("cleared", &question.job, detail);
+            Some((tickets, valid)) => {
+                clearance.record_answer(request, tickets, sent + valid);
+                let detail = format!("{} of {} workers", tickets.len(), request.workers.len());
+                self.log("cleared", &request.job, detail);
             }
             None => {
-                clearance.again = now + PAUSE;
-                self.ask_again = Some(now + PAUSE);
-                self.log("not cleared", &question.job, "no answer".to_owned());
+                clearance.retry_at = now + RETRY_DELAY_MS;
+                self.ask_again = Some(now + RETRY_DELAY_MS);
+                self.log("not cleared", &request.job, "no answer".to_owned());
             }
         }
     }
 
-    /// Asks where a step may run, one question at a time. `workers` have the
-    /// most room first.
+    /// Requests clearance for the candidate's step, one request at a time. `workers` are ordered by
+    /// free room, the largest first.
     pub(crate) fn request_clearance(
         &mut self,
         candidate: &Candidate,
@@ -130,14 +137,14 @@
             return;
         }
         let Some(entry) = self.jobs.get_mut(&candidate.id) else { return };
-        let place = (candidate.occurrence, candidate.step);
-        let clearance = entry.clearances.entry(place).or_default();
-        let open = workers.into_iter().filter(|worker| clearance.is_open(worker, now));
-        let workers: Vec<Incarnation> = open.take(ASKED).collect();
+        let step_key = (candidate.occurrence, candidate.step);
+        let clearance = entry.clearances.entry(step_key).or_default();
+        let unknown = workers.into_iter().filter(|worker| clearance.needs_request(worker, now));
+        let workers: Vec<Incarnation> = unknown.take(MAX_WORKERS).collect();
         if workers.is_empty() {
             return;
         }
-        let (job, (occurrence, step)) = (candidate.id.clone(), place);
+        let (job, (occurrence, step)) = (candidate.id.clone(), step_key);
         let request = ClearanceRequest { job, occurrence, step, workers };
         self.asking = true;
         self.outputs.push(Output::RequestClearance { request });
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -1,15 +1,15 @@
 //! Availability zones that operators evacuate.
 //!
-//! Nothing new starts there from the moment at which an owner knows. What runs there runs on to
-//! its end: operators ask that nothing more be sent, and a stop would throw its work away, while
-//! what is cut off when the zone goes dark starts elsewhere as after any loss. Room for work that
-//! waits, guaranteed or not, is made in the other zones as if there were no others: guarantees are
-//! kept as long as what is left holds them. A gang begins whole in the others; of one that is half
-//! started the members that were refused call the others back.
+//! Nothing new starts in an evacuated zone once the owner knows of the evacuation. Runs there
+//! continue to their end: a stop would discard their work, and tasks cut off when the zone goes dark
+//! start elsewhere as after any loss. Room for waiting work, guaranteed or not, is made in the other
+//! zones as if the evacuated ones did not exist, so guarantees hold as long as the other zones can
+//! satisfy them. Gangs start only in the other zones. If an evacuated zone refuses members of a gang
+//! that is being started, the gang's other members are stopped.
 //!
-//! The owner closes the workers, and tells the agents, which refuse what is on its way. An owner
-//! that has not heard of the operators for nearly as long as an evacuation may take to be in force
-//! starts nothing anywhere: each zone may be evacuated by then.
+//! The owner closes the workers of the zone and notifies all agents, which refuse starts that are
+//! still in flight. An owner that has not read the operators' rows for almost as long as an
+//! evacuation may take to be in force starts nothing anywhere, since any zone may be evacuated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,30 +18,29 @@
 
 use crate::owner::Owner;
 
-/// Time between two looks at whether an evacuated zone is empty, in milliseconds: each goes
-/// through all runs.
-const LOOK: u64 = 250;
+/// Shortest time between two checks whether evacuated zones are empty. Each check scans all runs.
+const CHECK_INTERVAL_MS: u64 = 250;
 
-/// How much sooner than an evacuation must be in force an owner that has not heard of the operators
-/// stops ordering, in milliseconds: an agent tries a start three times, 400 apart. A third of the
-/// bound at the most.
-const AHEAD: u64 = 1300;
+/// How long before the evacuation deadline an owner that cannot read the operators' rows stops
+/// ordering starts: an agent tries a start three times, 400 ms apart. At most a third of the deadline
+/// is used.
+const START_CUTOFF_MS: u64 = 1300;
 
-/// What the owner knows of evacuations, and what it has told of them.
+/// The evacuated zones, and what was logged and sent about them.
 #[derive(Debug, Default)]
 pub(crate) struct EvacuationState {
-    /// The availability zones.
+    /// The availability zones that are evacuated now.
     zones: Evacuation,
-    /// When the operators' rows were last known to say so.
-    heard: u64,
-    /// Not heard of for too long, as was told.
-    deaf: bool,
-    /// There was one under this owner: agents may have been told.
-    ever: bool,
-    /// Those of which it was told that they are empty.
+    /// When the operators' rows were last known to name exactly these zones.
+    last_read: u64,
+    /// True if the operators' rows were not read for too long, as was logged.
+    unreachable: bool,
+    /// True if this owner knew of an evacuation at any time, so that agents may know of it.
+    ever_evacuated: bool,
+    /// The evacuated zones that were logged as empty.
     empty: BTreeSet<String>,
-    /// When work was last looked for there.
-    looked: u64,
+    /// When the zones were last checked for runs.
+    last_checked: u64,
 }
 
 impl EvacuationState {
@@ -52,20 +51,19 @@
 }
 
 impl Owner {
-    /// Operators evacuate these availability zones, and no others, by a call that was sent at
-    /// `heard`.
-    pub fn set_evacuation(&mut self, zones: &Evacuation, heard: u64) {
-        self.evacuated.heard = self.evacuated.heard.max(heard);
+    /// Sets the availability zones that operators evacuate, as read by a call sent at `sent`.
+    pub fn set_evacuation(&mut self, zones: &Evacuation, sent: u64) {
+        self.evacuated.last_read = self.evacuated.last_read.max(sent);
         if self.evacuated.zones == *zones {
             return;
         }
         let former = std::mem::replace(&mut self.evacuated.zones, zones.clone());
-        self.evacuated.ever = true;
+        self.evacuated.ever_evacuated = true;
         for agent in self.agents.values_mut() {
             agent.evacuated = agent.worker.as_ref().is_some_and(|w| zones.covers(&w.zone));
         }
         for zone in zones.beyond(&former) {
-            self.tell_begun(zone);
+            self.log_evacuation_begun(zone);
         }
         for zone in former.beyond(zones) {
             self.evacuated.empty.remove(zone);
@@ -77,42 +75,45 @@
         self.replan = true;
     }
 
-    /// True if operators may have evacuated any zone unheard. Told when it begins and ends.
+    /// True if the operators' rows were not read for so long that any zone may be evacuated by now.
+    /// Logs when that begins and ends.
     pub(crate) fn operators_unreachable(&mut self, now: u64) -> bool {
         let Some(bound) = self.settings.evacuation_deadline else { return false };
-        let silent = now.saturating_sub(self.evacuated.heard);
-        let deaf = silent + AHEAD.min(bound / 3) > bound;
-        if deaf != self.evacuated.deaf {
-            self.evacuated.deaf = deaf;
-            match deaf {
+        let silent = now.saturating_sub(self.evacuated.last_read);
+        let unreachable = silent + START_CUTOFF_MS.min(bound / 3) > bound;
+        if unreachable != self.evacuated.unreachable {
+            self.evacuated.unreachable = unreachable;
+            match unreachable {
                 true => self.log("operators not heard", "", format!("for {silent} ms")),
                 false => self.log("operators heard", "", "again".to_owned()),
             }
         }
-        deaf
+        unreachable
     }
 
-    /// How many availability zones are evacuated, and how many of them may not be empty yet.
+    /// The number of evacuated availability zones, and of those that may not be empty yet.
     pub fn evacuation_counts(&self) -> (usize, usize) {
         let zones = self.evacuated.zones.zones().count();
         (zones, zones - self.evacuated.empty.len())
     }
 
-    /// Tells an agent of evacuations, unless there never was one: then it knows of none.
+    /// Sends the evacuated zones to an agent, unless there never were any.
     pub(crate) fn send_evacuation(&mut self, link: LinkId) {
-        if self.evacuated.ever {
+        if self.evacuated.ever_evacuated {
             let zones = self.evacuated.zones.clone();
             self.send(link, Order::Evacuate { zones });
         }
     }
 
-    /// Tells once of each evacuated zone that nothing runs there any more: it may be switched off.
+    /// Logs once for each evacuated zone when nothing runs there any more, so that it may be switched
+    /// off.
     pub(crate) fn check_evacuated_zones(&mut self, now: u64) {
-        if self.evacuated.zones.is_empty() || now < self.evacuated.looked + LOOK {
+        if self.evacuated.zones.is_empty() || now < self.evacuated.last_checked + CHECK_INTERVAL_MS
+        {
             return;
         }
-        self.evacuated.looked = now;
-        // What a former owner started there is not known before.
+        self.evacuated.last_checked = now;
+        // Runs started by a former owner may be unknown until then.
         if !self.settled {
             return;
         }
@@ -127,17 +128,18 @@
         }
     }
 
-    fn tell_begun(&mut self, zone: &str) {
+    /// Logs that a zone's evacuation has begun.
+    fn log_evacuation_begun(&mut self, zone: &str) {
         let known = self.agents.values().filter_map(|agent| agent.worker.as_ref());
         let workers = known.filter(|worker| worker.zone == zone).count();
         let runs = self.evacuated_runs().remove(zone).unwrap_or(0);
-        let unsure = if self.settled { "" } else { ", as far as is known yet" };
-        let detail = format!("{workers} workers take nothing new, {runs} runs go on{unsure}");
+        let caveat = if self.settled { "" } else { ", as far as is known yet" };
+        let detail = format!("{workers} workers take nothing new, {runs} runs go on{caveat}");
         self.log("zone evacuated", zone, detail);
     }
 
-    /// Runs that go on in each evacuated zone that has any: those that are believed to, and those
-    /// that nobody waits for and that are being stopped.
+    /// The number of runs in each evacuated zone that has any: recorded runs, and stray runs that
+    /// are being stopped.
     fn evacuated_runs(&self) -> BTreeMap<String, usize> {
         let zone = |name: &str| {
             let agent = self.agents.get(name).filter(|agent| agent.evacuated)?;
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -1,12 +1,11 @@
-//! Workers that the platform lists no more.
+//! Workers that the platform's machine list no longer names.
 //!
-//! A worker that is taken away, crashes or loses its machine says nothing. What ran there
-//! may go on until its lease is over, for all that its agent can tell, and waiting for
-//! that held gangs up for 10 to 19 s. The platform knows sooner: its list of machines
-//! names the worker on each, and one that it does not name is over. A worker that is cut off
-//! is still listed, and its lease is waited for; so is one that has started again under its
-//! id, until that reports. In 111 days of every kind of trouble, lists four times a second
-//! named each worker that answered later.
+//! A worker that is removed, crashes or loses its machine sends no notice. As far as its agent can
+//! tell, its runs may continue until the lease expires, and waiting for that delays gangs by 10 to
+//! 19 s. The platform knows earlier: its machine list names the worker of each machine, and a worker
+//! that is not named has ended. A partitioned worker is still listed, so its lease is waited for; so
+//! is one that restarted under its id, until it reports. In 111 days with all kinds of faults, lists
+//! requested four times a second never omitted a worker that answered later.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,56 +14,66 @@
 use crate::output::Output;
 use crate::owner::Owner;
 
-/// Time between two questions about the same workers at first, in milliseconds. It doubles
-/// from there: a list is a call, and a worker that is cut off stays listed.
-const FIRST: u64 = 300;
-/// And at most.
-const LONGEST: u64 = 2000;
-/// No two questions within this time, whatever happens: a cut hits many workers at once.
-const PAUSE: u64 = 100;
+/// First time between two list requests about the same workers. It doubles with each request, since
+/// a partitioned worker stays listed.
+const FIRST_INTERVAL_MS: u64 = 300;
+/// Longest time between two list requests about the same workers.
+const MAX_INTERVAL_MS: u64 = 2000;
+/// Shortest time between two checks whether to request a list. A partition hits many workers at
+/// once.
+const CHECK_INTERVAL_MS: u64 = 100;
 
-/// What was asked of the platform.
+/// The state of the requests for machine lists.
 #[derive(Debug)]
 pub(crate) struct Listing {
-    /// When it was last asked for a list.
-    asked: u64,
-    /// Time until it is asked again, if nothing new has happened.
-    pause: u64,
-    /// No look at whether to ask before this time.
-    next: u64,
-    /// Workers that the last list did not name, if it was not made at one moment.
+    /// When a list was last requested.
+    requested_at: u64,
+    /// Time until the next request, if no further worker is missed.
+    interval: u64,
+    /// When the need for a list is next checked.
+    next_check: u64,
+    /// Ids of missed workers that the last list did not name.
     unnamed: BTreeSet<String>,
 }
 
 impl Default for Listing {
     fn default() -> Listing {
-        Listing { asked: 0, pause: FIRST, next: 0, unnamed: BTreeSet::new() }
+        Listing {
+            requested_at: 0,
+            interval: FIRST_INTERVAL_MS,
+            next_check: 0,
+            unnamed: BTreeSet::new(),
+        }
     }
 }
 
 impl Owner {
-    /// Asks for a list if something runs at a worker that may be gone, or if older jobs
-    /// wait for members that are not heard.
+    /// Requests a machine list if something runs at a worker that may have ended, or if older jobs
+    /// wait for members that have not answered.
     pub(crate) fn poll_machines(&mut self, now: u64) {
-        if !self.settings.lists_machines || now < self.listing.next {
+        if !self.settings.lists_machines || now < self.listing.next_check {
             return;
         }
-        self.listing.next = now + PAUSE;
+        self.listing.next_check = now + CHECK_INTERVAL_MS;
         let Some(newest) = self.missed_since(now) else {
-            self.listing.pause = FIRST;
+            self.listing.interval = FIRST_INTERVAL_MS;
             return;
         };
-        let news = newest > self.listing.asked;
-        if !news && now < self.listing.asked + self.listing.pause {
+        let newly_missed = newest > self.listing.requested_at;
+        if !newly_missed && now < self.listing.requested_at + self.listing.interval {
             return;
         }
-        self.listing.pause = if news { FIRST } else { (self.listing.pause * 2).min(LONGEST) };
-        self.listing.asked = now;
+        self.listing.interval = if newly_missed {
+            FIRST_INTERVAL_MS
+        } else {
+            (self.listing.interval * 2).min(MAX_INTERVAL_MS)
+        };
+        self.listing.requested_at = now;
         self.outputs.push(Output::ListMachines);
     }
 
-    /// Since when the last of the workers has been missed that matters; none if
-    /// none is.
+    /// Since when the most recently missed worker with runs has been missed; none if no list is
+    /// needed.
     fn missed_since(&self, now: u64) -> Option<u64> {
         let missed: BTreeMap<&str, u64> = self
             .agents
@@ -77,15 +86,15 @@
             return unsettled;
         }
         let runs = self.jobs.values().flat_map(|entry| entry.runs.values());
-        let waited = runs.filter_map(|placed| missed.get(placed.agent.as_str()).copied());
-        waited.chain(unsettled).max()
+        let with_runs = runs.filter_map(|placed| missed.get(placed.agent.as_str()).copied());
+        with_runs.chain(unsettled).max()
     }
 
-    /// The platform listed all machines, by a call that was sent at `sent`.
+    /// Drops workers that a complete machine list, requested at `sent`, does not name.
     ///
-    /// A list of several pages is not made at one moment: a machine that is taken away
-    /// between two of them may move another one out of both. So a worker must be missing
-    /// from two such lists. A list without any machine tells nothing.
+    /// A list of several pages is not a consistent snapshot: a machine that is removed between two
+    /// pages may shift another one out of both. So a worker must be missing from two such lists in a
+    /// row. A list without any machine is ignored.
     pub(crate) fn on_machine_list(&mut self, machines: &[Machine], pages: usize, sent: u64) {
         if machines.is_empty() {
             return;
@@ -94,13 +103,13 @@
         let unnamed: BTreeSet<String> =
             self.unnamed(&listed, sent).map(|(_, worker)| worker.id.clone()).collect();
         let before = std::mem::replace(&mut self.listing.unnamed, unnamed);
-        let sure = |id: &str| pages == 1 || before.contains(id);
-        let over: Vec<(String, Incarnation)> = self
+        let confirmed = |id: &str| pages == 1 || before.contains(id);
+        let ended: Vec<(String, Incarnation)> = self
             .unnamed(&listed, sent)
-            .filter(|(_, worker)| sure(&worker.id))
+            .filter(|(_, worker)| confirmed(&worker.id))
             .map(|(name, worker)| (name.to_owned(), worker.incarnation()))
             .collect();
-        for (name, worker) in over {
+        for (name, worker) in ended {
             self.log("worker gone", &name, format!("{worker} is not listed any more"));
             self.attribute_crash(&name);
             self.end_incarnation(&name, &worker, "is gone");
@@ -111,7 +120,7 @@
         }
     }
 
-    /// Agents whose workers were missed when the list was asked for, and are not on it.
+    /// Agents whose workers were missed when the list was requested and are not on it.
     fn unnamed<'a>(
         &'a self,
         listed: &'a BTreeSet<&str>,
@@ -120,25 +129,25 @@
         let missed = move |since: Option<u64>| since.is_some_and(|since| since <= sent);
         self.agents.iter().filter_map(move |(name, agent)| {
             let worker = agent.worker.as_ref()?;
-            let open = missed(agent.missed) && !agent.left;
-            (open && !listed.contains(worker.id.as_str())).then_some((name.as_str(), worker))
+            let candidate = missed(agent.missed) && !agent.left;
+            (candidate && !listed.contains(worker.id.as_str())).then_some((name.as_str(), worker))
         })
     }
 
-    /// Nothing that a former owner started can be unknown once each worker that is listed
-    /// has answered under this epoch, if the list is newer than the last lease that the
-    /// former owner may have granted: what is not listed runs nothing, and what came
-    /// later was given nothing.
+    /// Marks all agents as answered if every listed worker has answered under this epoch and the
+    /// list is newer than the last lease that a former owner may have granted. Then no run of a
+    /// former owner can be unknown: workers that are not listed run nothing, and workers that
+    /// joined later got no lease from it.
     fn settle_by_list(&mut self, listed: &BTreeSet<&str>, sent: u64) {
         let (granted, _) = self.former_grants();
         if self.settled || sent < granted {
             return;
         }
-        let heard = self.agents.values().filter(|agent| agent.heard && !agent.left);
-        let heard: BTreeSet<&str> =
-            heard.filter_map(|agent| agent.worker.as_ref()).map(|w| w.id.as_str()).collect();
-        let open = listed.iter().filter(|id| !id.is_empty() && !heard.contains(*id));
-        if open.count() == 0 {
+        let answered = self.agents.values().filter(|agent| agent.heard && !agent.left);
+        let answered: BTreeSet<&str> =
+            answered.filter_map(|agent| agent.worker.as_ref()).map(|w| w.id.as_str()).collect();
+        let unanswered = listed.iter().filter(|id| !id.is_empty() && !answered.contains(*id));
+        if unanswered.count() == 0 {
             for agent in self.agents.values_mut() {
                 agent.heard = true;
             }
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -1,10 +1,9 @@
-//! Waves of maintenance: which machine goes down next, and when.
+//! Waves of maintenance: which machine is taken down next, and when.
 //!
-//! A machine that is next takes nothing new and is taken down once it is idle,
-//! or when the wave's time presses. What counts as down is never guessed low: a
-//! call without an answer may have been carried out, so its machine counts until
-//! a later list of the machines shows it up. Calls are idempotent, so that a new
-//! owner, which does not know what was begun, calls again.
+//! The next machine is cordoned and taken down once it is idle, or earlier if the wave's time runs
+//! short. The number of machines that are down is never underestimated: a call without an answer
+//! may have been carried out, so its machine counts as down until a later machine list shows it up.
+//! Calls are idempotent, so a new owner, which does not know what was begun, repeats them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,28 +14,27 @@
 use crate::owner::Owner;
 use crate::rows::WaveRecord;
 
-/// What the owner knows of maintenance.
+/// The state of all waves and machines.
 #[derive(Debug, Default)]
 pub(crate) struct Maintenance {
     waves: BTreeMap<u64, WaveState>,
     machines: BTreeMap<String, Machine>,
-    /// When the list that is known was asked for; none before the first.
-    listed: Option<u64>,
-    /// The list has entries that could not be read.
+    /// When the current machine list was requested; none before the first.
+    listed_at: Option<u64>,
+    /// True if the list has entries that could not be parsed.
     partial: bool,
-    /// When a list was last asked for.
-    asked: u64,
+    /// When a list was last requested.
+    requested_at: u64,
 }
 
 impl Maintenance {
-    /// Machines that are up, and were not called since the list was asked for.
-    /// One that a former owner had taken down already stays up when it is called
-    /// again, under the same worker.
-    fn back(&self, sent: u64) -> Vec<String> {
+    /// Machines that are up and that no wave has called since the list was requested. A machine
+    /// that a former owner had already taken down stays up when it is called again.
+    fn back_up(&self, sent: u64) -> Vec<String> {
         let idle = |name: &String| {
-            self.waves.values().all(|course| {
-                let begun = course.begun.get(name).is_none_or(|begun| *begun < sent);
-                begun && !course.called.contains_key(name)
+            self.waves.values().all(|state| {
+                let begun = state.begun.get(name).is_none_or(|begun| *begun < sent);
+                begun && !state.called.contains_key(name)
             })
         };
         let up = self.machines.values().filter(|machine| machine.condition == Condition::Up);
@@ -44,116 +42,119 @@
     }
 }
 
-/// A wave under way.
+/// The state of one wave.
 #[derive(Debug)]
 struct WaveState {
     wave: Wave,
-    /// When it was first seen, in time of day.
-    seen: u64,
-    /// That, and whether it is through, is recorded.
+    /// When it was first seen, in milliseconds since 1970.
+    first_seen: u64,
+    /// True if `first_seen` and `done` are recorded.
     recorded: bool,
-    /// Machines that have begun, or are no part of it, and when that was told.
+    /// Machines that have been taken down, or are not part of the wave, and when the platform
+    /// said so.
     begun: BTreeMap<String, u64>,
-    /// Machines that were called and have not answered, with the time of the
-    /// call.
+    /// Machines whose call to take them down has no answer yet, and when it was last sent.
     called: BTreeMap<String, u64>,
     done: bool,
 }
 
-/// What became of a call to take a machine down.
+/// The platform's answer to a call to take a machine down.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TakeDownResult {
-    /// It is down, or was already.
+    /// The machine is down, or was already.
     Begun,
-    /// It is not up, or about to leave: later.
+    /// The machine is not up or is about to leave; the call may be repeated later.
     Busy,
-    /// It is no part of the wave, or does not exist.
+    /// The machine is not part of the wave or does not exist.
     Foreign,
-    /// Another owner has given orders for it.
+    /// A later owner holds the machine's fencing token.
     Fenced,
     /// The platform refused the call; nothing was done.
     Refused,
-    /// No answer came.
+    /// No answer arrived, so the call may have been carried out.
     Unclear,
 }
 
-/// Time between two lists of the machines while a wave is under way, in
-/// milliseconds. Sixty lists a second are all that the platform answers.
-const LIST: u64 = 1000;
-/// A call that got no answer, or a refusal, is repeated after this time.
-const REPEAT: u64 = 1500;
-/// What a machine's turn takes beyond the maintenance itself, in milliseconds:
-/// the calls, and the next list.
-const TURN: u64 = 2500;
+/// Time between two machine lists during a wave. The platform answers at most sixty a second.
+const LIST_INTERVAL_MS: u64 = 1000;
+/// Time after which a call without an answer is repeated.
+const CALL_RETRY_MS: u64 = 1500;
+/// Time that a machine takes beyond the maintenance itself: the calls and the next list.
+const TURN_OVERHEAD_MS: u64 = 2500;
 
 impl WaveState {
-    /// Machines that may be down for this wave.
-    fn down(&self, upkeep: &Maintenance) -> usize {
-        let may = |name: &&String| self.may_be_down(name, upkeep);
-        self.wave.machines.iter().filter(may).count()
+    /// The number of machines of the wave that may be down.
+    fn down_count(&self, maintenance: &Maintenance) -> usize {
+        let may_be_down = |name: &&String| self.may_be_down(name, maintenance);
+        self.wave.machines.iter().filter(may_be_down).count()
     }
 
-    fn may_be_down(&self, name: &str, upkeep: &Maintenance) -> bool {
-        let machine = upkeep.machines.get(name);
+    /// True if the machine is down for this wave, or a call that may have taken it down is newer
+    /// than the machine list.
+    fn may_be_down(&self, name: &str, maintenance: &Maintenance) -> bool {
+        let machine = maintenance.machines.get(name);
         if self.called.contains_key(name) {
             return true;
         }
         match (machine, self.begun.get(name)) {
             (Some(machine), None) => machine.condition == Condition::Maintained,
             (Some(machine), Some(&begun)) => {
-                let old = upkeep.listed.is_none_or(|listed| listed <= begun);
-                old || machine.condition == Condition::Maintained
+                let stale = maintenance.listed_at.is_none_or(|listed_at| listed_at <= begun);
+                stale || machine.condition == Condition::Maintained
             }
             (None, _) => false,
         }
     }
 
-    /// Machines of the wave that still have their turn before them.
-    fn left<'a>(&'a self, upkeep: &'a Maintenance) -> impl Iterator<Item = &'a Machine> {
+    /// Listed machines of the wave that have not been taken down yet.
+    fn remaining<'a>(&'a self, maintenance: &'a Maintenance) -> impl Iterator<Item = &'a Machine> {
         let names = self.wave.machines.iter().filter(|name| !self.begun.contains_key(*name));
-        names.filter_map(|name| upkeep.machines.get(name))
+        names.filter_map(|name| maintenance.machines.get(name))
     }
 
-    /// True if each machine of the wave was ever listed, or has had its turn.
-    fn is_known(&self, upkeep: &Maintenance) -> bool {
-        let known =
-            |name: &String| upkeep.machines.contains_key(name) || self.begun.contains_key(name);
+    /// True if each machine of the wave has been listed or taken down.
+    fn all_known(&self, maintenance: &Maintenance) -> bool {
+        let known = |name: &String| {
+            maintenance.machines.contains_key(name) || self.begun.contains_key(name)
+        };
         self.wave.machines.iter().all(known)
     }
 
-    /// True if the machines that are left need all the time that is left.
-    fn presses(&self, left: usize, length: u64, wall: u64) -> bool {
-        let turns = left.div_ceil(self.wave.most.max(1)) as u64;
-        wall + turns * (length + TURN) >= self.seen + self.wave.duration
+    /// True if the `remaining` machines need all the time that is left. `length` is the duration
+    /// of one machine's maintenance, and `wall` is the time of day.
+    fn is_short_of_time(&self, remaining: usize, length: u64, wall: u64) -> bool {
+        let turns = remaining.div_ceil(self.wave.most.max(1)) as u64;
+        wall + turns * (length + TURN_OVERHEAD_MS) >= self.first_seen + self.wave.duration
     }
 }
 
 impl Owner {
-    /// A wave is to be carried out. `known` is what a former owner knew of it.
+    /// Adds a wave to carry out. `known` is what a former owner recorded of it, and `wall` is the
+    /// time of day.
     pub fn add_wave(&mut self, wave: &Wave, known: Option<WaveRecord>, wall: u64) {
         let done = known.is_some_and(|known| known.done);
-        let course = WaveState {
+        let state = WaveState {
             wave: wave.clone(),
-            seen: known.map_or(wall, |known| known.at),
+            first_seen: known.map_or(wall, |known| known.at),
             recorded: known.is_some(),
             begun: BTreeMap::new(),
             called: BTreeMap::new(),
             done,
         };
-        self.upkeep.waves.entry(wave.number).or_insert(course);
+        self.upkeep.waves.entry(wave.number).or_insert(state);
         self.outputs.push(Output::WaveStatus { number: wave.number, done });
     }
 
-    /// True if the wave is known.
+    /// True if the wave was added before.
     pub fn knows_wave(&self, number: u64) -> bool {
         self.upkeep.waves.contains_key(&number)
     }
 
-    /// The platform listed all machines on so many `pages`, by a call that was sent at
-    /// `sent`; those whose entries could be read, if the list is not `whole`.
+    /// Handles the platform's list of all machines, requested at `sent` and returned on `pages`
+    /// pages. If the list is not `whole`, entries that could not be parsed are missing.
     ///
-    /// A machine whose entry cannot be read is still there, and stays as it was known:
-    /// taken for gone, its wave would be told as through before its turn.
+    /// A machine whose entry cannot be parsed still exists and keeps its last known state. If it
+    /// were dropped, its wave would be reported as complete before its turn.
     pub fn on_machines(&mut self, machines: Vec<Machine>, whole: bool, pages: usize, sent: u64) {
         if whole {
             self.upkeep.machines.clear();
@@ -162,41 +163,42 @@
         let by_name = machines.into_iter().map(|machine| (machine.name.clone(), machine));
         self.upkeep.machines.extend(by_name);
         self.upkeep.partial = !whole;
-        self.upkeep.listed = Some(sent);
-        for name in self.upkeep.back(sent) {
-            self.reprieve(&name);
+        self.upkeep.listed_at = Some(sent);
+        for name in self.upkeep.back_up(sent) {
+            self.cancel_take_down(&name);
         }
     }
 
-    /// The platform answered the call to take a machine down, or did not.
+    /// Handles the result of a call to take a machine down.
     pub fn on_take_down(&mut self, number: u64, machine: &str, taken: TakeDownResult, now: u64) {
-        let Some(course) = self.upkeep.waves.get_mut(&number) else { return };
+        let Some(state) = self.upkeep.waves.get_mut(&number) else { return };
         match taken {
             TakeDownResult::Begun => {
-                course.called.remove(machine);
-                course.begun.insert(machine.to_owned(), now);
+                state.called.remove(machine);
+                state.begun.insert(machine.to_owned(), now);
             }
             TakeDownResult::Foreign => {
-                course.called.remove(machine);
-                course.begun.insert(machine.to_owned(), now);
-                self.reprieve(machine);
+                state.called.remove(machine);
+                state.begun.insert(machine.to_owned(), now);
+                self.cancel_take_down(machine);
             }
             TakeDownResult::Busy | TakeDownResult::Refused => {
-                course.called.remove(machine);
-                self.reprieve(machine);
+                state.called.remove(machine);
+                self.cancel_take_down(machine);
             }
             TakeDownResult::Unclear => {}
             TakeDownResult::Fenced => {
-                course.called.remove(machine);
+                state.called.remove(machine);
                 self.outputs.push(Output::Deposed { epoch: self.epoch + 1 });
             }
         }
         self.log("maintenance", machine, format!("wave {number}: {taken:?}"));
     }
 
-    /// Carries the waves on.
+    /// Advances all waves that are not complete: requests lists, repeats calls and takes the next
+    /// machines down.
     pub(crate) fn advance_waves(&mut self, now: u64, wall: u64) {
-        // Holders of a machine's fencing token take turns no faster than this.
+        // A machine's fencing token changes its holder at most once in this time.
         if now < self.claimed + self.settings.fencing_interval {
             return;
         }
@@ -204,41 +206,41 @@
         if open.is_empty() {
             return;
         }
-        if now >= self.upkeep.asked + LIST {
-            self.upkeep.asked = now;
+        if now >= self.upkeep.requested_at + LIST_INTERVAL_MS {
+            self.upkeep.requested_at = now;
             self.outputs.push(Output::ListMachines);
         }
-        if self.upkeep.listed.is_none() {
+        if self.upkeep.listed_at.is_none() {
             return;
         }
         let mut next = BTreeSet::new();
         for number in open {
             self.finish_wave(number);
-            self.repeat(number, now);
-            next.extend(self.choose(number, now, wall));
+            self.retry_calls(number, now);
+            next.extend(self.take_down_next(number, now, wall));
         }
         self.cordon(&next);
     }
 
-    /// Waves of which more is to be recorded.
+    /// Waves whose state is to be recorded; they count as recorded from now on.
     pub(crate) fn unrecorded_waves(&mut self) -> Vec<(u64, WaveRecord)> {
-        let new = self.upkeep.waves.iter_mut().filter(|(_, course)| !course.recorded);
-        new.map(|(number, course)| {
-            course.recorded = true;
-            (*number, WaveRecord { at: course.seen, done: course.done })
+        let new = self.upkeep.waves.iter_mut().filter(|(_, state)| !state.recorded);
+        new.map(|(number, state)| {
+            state.recorded = true;
+            (*number, WaveRecord { at: state.first_seen, done: state.done })
         })
         .collect()
     }
 
-    /// The record of a wave failed.
+    /// Marks a wave as unrecorded after a failed write.
     pub(crate) fn mark_unrecorded(&mut self, number: u64) {
-        if let Some(course) = self.upkeep.waves.get_mut(&number) {
-            course.recorded = false;
+        if let Some(state) = self.upkeep.waves.get_mut(&number) {
+            state.recorded = false;
         }
     }
 
-    /// A machine is not taken down after all, or not yet.
-    fn reprieve(&mut self, machine: &str) {
+    /// Lets a machine take work again that is not taken down after all, or not yet.
+    fn cancel_take_down(&mut self, machine: &str) {
         let worker = self.upkeep.machines.get(machine).map(|machine| machine.worker.clone());
         let name = worker.and_then(|worker| self.agent_of(&worker).map(str::to_owned));
         if let Some(agent) = name.and_then(|name| self.agents.get_mut(&name)) {
@@ -247,31 +249,32 @@
         }
     }
 
+    /// Numbers of the waves that are not complete.
     fn open_waves(&self) -> Vec<u64> {
-        let open = self.upkeep.waves.iter().filter(|(_, course)| !course.done);
+        let open = self.upkeep.waves.iter().filter(|(_, state)| !state.done);
         open.map(|(number, _)| *number).collect()
     }
 
-    /// Tells that a wave is through once every machine that is still there has
-    /// begun.
+    /// Reports a wave as complete once every machine that still exists has been taken down.
     fn finish_wave(&mut self, number: u64) {
-        let upkeep = &self.upkeep;
-        let Some(course) = upkeep.waves.get(&number) else { return };
-        let known = !upkeep.partial || course.is_known(upkeep);
-        let done = known && course.left(upkeep).next().is_none() && course.called.is_empty();
-        if let Some(course) = self.upkeep.waves.get_mut(&number).filter(|_| done) {
-            course.done = true;
-            course.recorded = false;
+        let maintenance = &self.upkeep;
+        let Some(state) = maintenance.waves.get(&number) else { return };
+        let known = !maintenance.partial || state.all_known(maintenance);
+        let done =
+            known && state.remaining(maintenance).next().is_none() && state.called.is_empty();
+        if let Some(state) = self.upkeep.waves.get_mut(&number).filter(|_| done) {
+            state.done = true;
+            state.recorded = false;
             self.log("wave", &number.to_string(), "all machines have begun".to_owned());
             self.outputs.push(Output::WaveStatus { number, done: true });
         }
     }
 
     /// Repeats calls without an answer.
-    fn repeat(&mut self, number: u64, now: u64) {
-        let Some(course) = self.upkeep.waves.get_mut(&number) else { return };
-        for (machine, called) in &mut course.called {
-            if now >= *called + REPEAT {
+    fn retry_calls(&mut self, number: u64, now: u64) {
+        let Some(state) = self.upkeep.waves.get_mut(&number) else { return };
+        for (machine, called) in &mut state.called {
+            if now >= *called + CALL_RETRY_MS {
                 *called = now;
                 let machine = machine.clone();
                 self.outputs.push(Output::TakeDown { wave: number, machine });
@@ -279,23 +282,24 @@
         }
     }
 
-    /// Takes machines down whose turn it is, and returns the agents of those
-    /// that are next but not idle yet.
-    fn choose(&mut self, number: u64, now: u64, wall: u64) -> BTreeSet<String> {
-        let upkeep = &self.upkeep;
-        let Some(course) = upkeep.waves.get(&number).filter(|course| !course.done) else {
+    /// Takes down the next machines of a wave, and returns the agents of those that are next but
+    /// not idle yet. Machines that lose the least work come first.
+    fn take_down_next(&mut self, number: u64, now: u64, wall: u64) -> BTreeSet<String> {
+        let maintenance = &self.upkeep;
+        let Some(state) = maintenance.waves.get(&number).filter(|state| !state.done) else {
             return BTreeSet::new();
         };
-        let mut room = course.wave.most.saturating_sub(course.down(upkeep));
-        let left: Vec<&Machine> = course.left(upkeep).collect();
-        let presses = course.presses(left.len(), self.settings.maintenance_duration, wall);
-        let mut turns: Vec<(u64, String, String)> = left
+        let mut room = state.wave.most.saturating_sub(state.down_count(maintenance));
+        let remaining: Vec<&Machine> = state.remaining(maintenance).collect();
+        let short_of_time =
+            state.is_short_of_time(remaining.len(), self.settings.maintenance_duration, wall);
+        let mut turns: Vec<(u64, String, String)> = remaining
             .into_iter()
             .filter(|machine| machine.condition == Condition::Up)
-            .filter(|machine| !course.called.contains_key(&machine.name))
+            .filter(|machine| !state.called.contains_key(&machine.name))
             .map(|machine| {
                 let agent = self.agent_of(&machine.worker).unwrap_or_default().to_owned();
-                (self.lost_at(&agent, now), machine.name.clone(), agent)
+                (self.lost_work_ms(&agent, now), machine.name.clone(), agent)
             })
             .collect();
         turns.sort();
@@ -304,16 +308,16 @@
             if room == 0 {
                 break;
             }
-            if !self.may_go(&agent) {
+            if !self.may_take_down(&agent) {
                 continue;
             }
             room -= 1;
-            if lost > 0 && !presses {
+            if lost > 0 && !short_of_time {
                 next.insert(agent);
                 continue;
             }
-            if let Some(course) = self.upkeep.waves.get_mut(&number) {
-                course.called.insert(machine.clone(), now);
+            if let Some(state) = self.upkeep.waves.get_mut(&number) {
+                state.called.insert(machine.clone(), now);
             }
             if let Some(agent) = self.agents.get_mut(&agent) {
                 agent.doomed = true;
@@ -323,6 +327,7 @@
         next
     }
 
+    /// The name of the agent of a worker, by the worker's id.
     fn agent_of(&self, worker: &str) -> Option<&str> {
         let mut agents = self.agents.iter();
         let found = agents.find(|(_, agent)| {
@@ -331,14 +336,14 @@
         found.map(|(name, _)| name.as_str())
     }
 
-    /// What is lost if everything at an agent ends now, in milliseconds of runs;
-    /// tasks that last lose nothing, as their number is bounded by itself.
-    fn lost_at(&self, agent: &str, now: u64) -> u64 {
+    /// The run time lost if all runs at an agent end now, in milliseconds. Perpetual tasks count
+    /// as no loss, since [`Owner::may_take_down`] bounds how many are stopped.
+    fn lost_work_ms(&self, agent: &str, now: u64) -> u64 {
         let mut lost = 0;
         for entry in self.jobs.values() {
             for (key, placed) in entry.runs.iter().filter(|(_, placed)| placed.agent == agent) {
-                let lasting = entry.step(*key).is_some_and(|step| step.perpetual);
-                if !lasting {
+                let perpetual = entry.step(*key).is_some_and(|step| step.perpetual);
+                if !perpetual {
                     lost += now.saturating_sub(placed.began).max(1);
                 }
             }
@@ -346,8 +351,9 @@
         lost
     }
 
-    /// True if no step that lasts would miss more tasks than it may.
-    fn may_go(&self, agent: &str) -> bool {
+    /// True if taking the agent's machine down leaves no step with more missing tasks than its
+    /// `may_miss` allows.
+    fn may_take_down(&self, agent: &str) -> bool {
         let here = |placed: &Placed| placed.agent == agent;
         self.jobs.iter().all(|(id, entry)| {
             let mut hit: BTreeMap<(u32, u32), u32> = BTreeMap::new();
@@ -361,12 +367,12 @@
         })
     }
 
-    /// Lets nothing new start at these agents, and at no others.
+    /// Cordons these agents, so that nothing new starts there, and uncordons all others.
     fn cordon(&mut self, names: &BTreeSet<String>) {
         for (name, agent) in &mut self.agents {
-            let closed = names.contains(name);
-            self.replan |= agent.cordoned && !closed;
-            agent.cordoned = closed;
+            let cordoned = names.contains(name);
+            self.replan |= agent.cordoned && !cordoned;
+            agent.cordoned = cordoned;
         }
     }
 }
--- a/crates/dispatch/src/output.rs
+++ b/crates/dispatch/src/output.rs
@@ -2,23 +2,23 @@
 
 use crate::clearance::ClearanceRequest;
 
-/// What the owner wants done.
+/// An action that the owner's process must carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Output {
-    /// Give an order.
+    /// Send an order to an agent.
     Send {
-        /// On which connection.
+        /// The agent's connection.
         link: LinkId,
         /// The order.
         order: Order,
     },
-    /// Ask which workers may run a step, and hand the answer to
+    /// Request which workers may run a step, and pass the answer to
     /// [`crate::Owner::on_clearance`].
     RequestClearance {
-        /// What is asked.
+        /// The request.
         request: ClearanceRequest,
     },
-    /// List all machines.
+    /// Request a list of all machines, and pass it to [`crate::Owner::on_machines`].
     ListMachines,
     /// Take a machine down for a wave of maintenance.
     TakeDown {
@@ -27,30 +27,30 @@
         /// The machine.
         machine: String,
     },
-    /// Tell operators how a wave goes.
+    /// Report the status of a wave to the operators.
     WaveStatus {
         /// The wave.
         number: u64,
-        /// All machines that are still there have begun.
+        /// True if all machines that still exist have been taken down.
         done: bool,
     },
-    /// Close a connection that fell silent or was replaced.
+    /// Close a connection that is unresponsive or was replaced.
     Close {
         /// The connection.
         link: LinkId,
     },
-    /// A later owner has taken over; this one must end.
+    /// End this ownership, since a later owner has taken over.
     Deposed {
         /// The later epoch.
         epoch: u64,
     },
-    /// Something worth a line in the log.
+    /// Write a line to the log.
     Log {
-        /// What was decided.
+        /// The log event.
         event: &'static str,
         /// The job or worker that it concerns.
         subject: String,
-        /// What decided it.
+        /// Details of the decision.
         detail: String,
     },
 }
--- a/crates/dispatch/src/refusals.rs
+++ b/crates/dispatch/src/refusals.rs
@@ -1,46 +1,46 @@
-//! Workers that refuse starts.
+//! Back-off for workers that refuse starts.
 
 use crate::agent::Agent;
 use crate::owner::Owner;
 
-/// A worker that refused a start is left alone for so many milliseconds at first: some
-/// ten times what a start and its refusal take.
-const FIRST: u64 = 50;
-/// Most doublings, to 1.6 s: what it adds to the wait for a worker that has room again
-/// is half of that on average, and it costs less than one start a second.
-const DOUBLINGS: u32 = 5;
+/// First back-off after a refused start: about ten times what a start and its refusal take.
+const FIRST_BACKOFF_MS: u64 = 50;
+/// Most doublings of the back-off, to 1.6 s. That delays work for a worker with room again by half
+/// of it on average, and costs less than one refused start a second.
+const MAX_DOUBLINGS: u32 = 5;
 
-/// Starts that one worker refused in a row.
+/// Consecutive starts that one worker refused.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Refusals {
     count: u32,
-    /// Nothing new is ordered there until then; 0 if it is open.
+    /// When the back-off ends, until which nothing new is ordered there; 0 if there is none.
     pub until: u64,
 }
 
 impl Refusals {
-    fn note(&mut self, now: u64) {
-        self.until = self.until.max(now + (FIRST << self.count.min(DOUBLINGS)));
+    /// Counts a refusal and extends the back-off.
+    fn record(&mut self, now: u64) {
+        self.until = self.until.max(now + (FIRST_BACKOFF_MS << self.count.min(MAX_DOUBLINGS)));
         self.count += 1;
     }
 }
 
 impl Owner {
-    /// A worker refused a start, though it should not have been ordered one: it has less
-    /// room than is believed, or is unhealthy. Asked again at once, it would refuse
-    /// hundreds of times a second where no other worker suits the task.
+    /// Starts a back-off for a worker that refused a start although it appeared to fit: it has less
+    /// room than recorded, or is unhealthy. Without the back-off it would refuse hundreds of starts
+    /// a second where no other worker suits the task.
     pub(crate) fn back_off(&mut self, name: &str, now: u64) {
         let last = now + self.settings.failure_cooldown / 10;
         if let Some(agent) = self.agents.get_mut(name) {
             agent.doubted = agent.doubted.max(last);
-            agent.refusals.note(now);
+            agent.refusals.record(now);
         }
     }
 
-    /// Opens workers that were left alone for long enough.
+    /// Lets workers take starts again whose back-off is over.
     pub(crate) fn end_backoffs(&mut self, now: u64) {
-        let over = |agent: &&mut Agent| agent.refusals.until > 0 && now >= agent.refusals.until;
-        for agent in self.agents.values_mut().filter(over) {
+        let expired = |agent: &&mut Agent| agent.refusals.until > 0 && now >= agent.refusals.until;
+        for agent in self.agents.values_mut().filter(expired) {
             agent.refusals.until = 0;
             self.replan = true;
         }
