--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -8,10 +8,10 @@
 use quincewheel_job::{Incarnation, Task};
 use quincewheel_policy::{AVOIDED, bound_avoided, most_closed};
 
-use crate::board::Board;
 use crate::candidate::Candidate;
 use crate::owner::Owner;
 use crate::reports::task_key;
+use crate::snapshot::Snapshot;
 
 impl Owner {
     /// Records a failure of a task at an agent's worker, and closes the worker if that is due. The
@@ -20,10 +20,10 @@
         if let Some(entry) = self.jobs.get_mut(&task.job)
             && let Some(worker) = self.agents.get(name).and_then(|agent| agent.worker.as_ref())
         {
-            let slot = entry.key(task_key(task));
+            let slot = entry.slot(task_key(task));
             let until = now + AVOIDED;
-            entry.avoided.entry(slot).or_default().insert(worker.incarnation(), until);
-            self.avoiding = Some(self.avoiding.map_or(until, |at| at.min(until)));
+            entry.avoided_workers.entry(slot).or_default().insert(worker.incarnation(), until);
+            self.avoidance_ends_at = Some(self.avoidance_ends_at.map_or(until, |at| at.min(until)));
         }
         let closed = self.agents.values().filter(|agent| now < agent.blame.until).count();
         let most = most_closed(self.agents.len());
@@ -36,9 +36,9 @@
 
     /// Reopens workers whose closure has expired, and lets tasks return to workers that they avoided.
     pub(crate) fn reopen_workers(&mut self, now: u64) {
-        if self.avoiding.take_if(|at| *at <= now).is_some() {
+        if self.avoidance_ends_at.take_if(|at| *at <= now).is_some() {
             self.replan = true;
-            self.avoiding = self.next_avoid_expiry(now);
+            self.avoidance_ends_at = self.next_avoid_expiry(now);
         }
         for agent in self.agents.values_mut().filter(|agent| agent.blame.until > 0) {
             if now >= agent.blame.until {
@@ -50,7 +50,7 @@
 
     /// The earliest time at which a task may return to a worker that it avoids.
     fn next_avoid_expiry(&self, now: u64) -> Option<u64> {
-        let entries = self.jobs.values().flat_map(|entry| entry.avoided.values());
+        let entries = self.jobs.values().flat_map(|entry| entry.avoided_workers.values());
         entries.flat_map(|workers| workers.values().copied()).filter(|until| *until > now).min()
     }
 
@@ -59,23 +59,23 @@
     pub(crate) fn avoided_places(
         &self,
         candidate: &Candidate,
-        board: &Board,
+        snapshot: &Snapshot,
         now: u64,
     ) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
-        if entry.avoided.is_empty() {
+        if entry.avoided_workers.is_empty() {
             return Vec::new();
         }
         let slots = candidate
             .tasks
             .iter()
-            .map(|&index| entry.key((candidate.occurrence, candidate.step, index)));
-        let avoided = slots.filter_map(|slot| entry.avoided.get(&slot)).flatten();
+            .map(|&index| entry.slot((candidate.occurrence, candidate.step, index)));
+        let avoided = slots.filter_map(|slot| entry.avoided_workers.get(&slot)).flatten();
         let workers: BTreeSet<&Incarnation> =
             avoided.filter(|(_, until)| now < **until).map(|(worker, _)| worker).collect();
-        let places = board.spots.iter().enumerate();
+        let places = snapshot.spots.iter().enumerate();
         let avoided: Vec<usize> =
             places.filter(|(_, spot)| workers.contains(&spot.worker)).map(|(at, _)| at).collect();
-        bound_avoided(avoided, board.spots.len())
+        bound_avoided(avoided, snapshot.spots.len())
     }
 }
--- a/crates/dispatch/src/clearance.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -107,7 +107,7 @@
         sent: u64,
         now: u64,
     ) {
-        self.asking = false;
+        self.advice_pending = false;
         self.replan = true;
         let Some(entry) = self.jobs.get_mut(&request.job) else { return };
         let clearance = entry.clearances.entry((request.occurrence, request.step)).or_default();
@@ -119,7 +119,7 @@
             }
             None => {
                 clearance.retry_at = now + RETRY_DELAY_MS;
-                self.ask_again = Some(now + RETRY_DELAY_MS);
+                self.advice_retry_at = Some(now + RETRY_DELAY_MS);
                 self.log("not cleared", &request.job, "no answer".to_owned());
             }
         }
@@ -133,7 +133,7 @@
         workers: Vec<Incarnation>,
         now: u64,
     ) {
-        if self.asking {
+        if self.advice_pending {
             return;
         }
         let Some(entry) = self.jobs.get_mut(&candidate.id) else { return };
@@ -146,7 +146,7 @@
         }
         let (job, (occurrence, step)) = (candidate.id.clone(), step_key);
         let request = ClearanceRequest { job, occurrence, step, workers };
-        self.asking = true;
+        self.advice_pending = true;
         self.outputs.push(Output::RequestClearance { request });
     }
 }
--- a/crates/dispatch/src/dismissal.rs
+++ b/crates/dispatch/src/dismissal.rs
@@ -38,7 +38,11 @@
     /// unresponsive until the first ping reports otherwise, so an old answer gets it no work.
     pub fn readmit(&mut self, name: &str, agent: Agent) -> Agent {
         let Some(former) = self.former.remove(name) else { return agent };
-        Agent { lapse: agent.lapse.max(former.lapse), silent: former.silent, ..agent }
+        Agent {
+            leases_expire_at: agent.leases_expire_at.max(former.lapse),
+            silent_ms: former.silent,
+            ..agent
+        }
     }
 }
 
@@ -48,7 +52,7 @@
     pub(crate) fn set_dropping(&mut self, names: &[String], dropping: bool) {
         for name in names {
             if let Some(agent) = self.agents.get_mut(name) {
-                agent.dropping = dropping;
+                agent.removal_pending = dropping;
                 self.replan |= !dropping;
             }
         }
@@ -70,7 +74,7 @@
         self.attribute_crash(name);
         let Some(agent) = self.agents.remove(name) else { return };
         self.log("agent dismissed", name, "no connection or worker".to_owned());
-        let former = DismissedAgent { lapse: agent.lapse, silent: agent.silent };
+        let former = DismissedAgent { lapse: agent.leases_expire_at, silent: agent.silent_ms };
         self.dismissal.former.insert(name.to_owned(), former);
         if let Some(link) = agent.link {
             self.links.remove(&link);
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -9,7 +9,7 @@
 
 use quincewheel_job::{Condition, Machine, Wave};
 
-use crate::entry::Placed;
+use crate::entry::Placement;
 use crate::output::Output;
 use crate::owner::Owner;
 use crate::rows::WaveRecord;
@@ -199,7 +199,7 @@
     /// machines down.
     pub(crate) fn advance_waves(&mut self, now: u64, wall: u64) {
         // A machine's fencing token changes its holder at most once in this time.
-        if now < self.claimed + self.settings.fencing_interval {
+        if now < self.claimed_at + self.settings.fencing_interval {
             return;
         }
         let open = self.open_waves();
@@ -244,8 +244,8 @@
         let worker = self.upkeep.machines.get(machine).map(|machine| machine.worker.clone());
         let name = worker.and_then(|worker| self.agent_of(&worker).map(str::to_owned));
         if let Some(agent) = name.and_then(|name| self.agents.get_mut(&name)) {
-            self.replan |= agent.doomed;
-            agent.doomed = false;
+            self.replan |= agent.shutdown_requested;
+            agent.shutdown_requested = false;
         }
     }
 
@@ -320,7 +320,7 @@
                 state.called.insert(machine.clone(), now);
             }
             if let Some(agent) = self.agents.get_mut(&agent) {
-                agent.doomed = true;
+                agent.shutdown_requested = true;
             }
             self.outputs.push(Output::TakeDown { wave: number, machine });
         }
@@ -344,7 +344,7 @@
             for (key, placed) in entry.runs.iter().filter(|(_, placed)| placed.agent == agent) {
                 let perpetual = entry.step(*key).is_some_and(|step| step.perpetual);
                 if !perpetual {
-                    lost += now.saturating_sub(placed.began).max(1);
+                    lost += now.saturating_sub(placed.started_at).max(1);
                 }
             }
         }
@@ -354,7 +354,7 @@
     /// True if taking the agent's machine down leaves no step with more missing tasks than its
     /// `may_miss` allows.
     fn may_take_down(&self, agent: &str) -> bool {
-        let here = |placed: &Placed| placed.agent == agent;
+        let here = |placed: &Placement| placed.agent == agent;
         self.jobs.iter().all(|(id, entry)| {
             let mut hit: BTreeMap<(u32, u32), u32> = BTreeMap::new();
             for (key, _) in entry.runs.iter().filter(|(_, placed)| here(placed)) {
@@ -362,8 +362,9 @@
                     *hit.entry((key.0, key.1)).or_default() += 1;
                 }
             }
-            hit.iter()
-                .all(|(&(occurrence, step), &runs)| runs <= self.spare_runs(id, occurrence, step))
+            hit.iter().all(|(&(occurrence, step), &runs)| {
+                runs <= self.disruption_budget(id, occurrence, step)
+            })
         })
     }
 
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -3,7 +3,7 @@
 use quincewheel_wire::{LinkId, Order};
 
 use crate::agent::Agent;
-use crate::entry::Placed;
+use crate::entry::Placement;
 use crate::output::Output;
 use crate::owner::Owner;
 
@@ -13,14 +13,20 @@
     /// Agents added within a second after the takeover may hold leases of the former owner. They
     /// must answer, or their leases expire, before work of the former owner is restarted.
     pub fn add_agent(&mut self, name: &str, now: u64) {
-        let lapse = match now.saturating_sub(self.claimed) {
+        let lapse = match now.saturating_sub(self.claimed_at) {
             // Known since the takeover: the former owner may have granted a lease until it
             // was replaced.
-            0..=1000 => self.claimed + self.settings.lease + self.settings.lease_margin,
+            0..=1000 => self.claimed_at + self.settings.lease + self.settings.lease_margin,
             _ => 0,
         };
         let former = lapse > 0;
-        let agent = Agent { former, lapse, joined: now, told: now, ..Agent::default() };
+        let agent = Agent {
+            predecessor_leases: former,
+            leases_expire_at: lapse,
+            joined_at: now,
+            last_notice_at: now,
+            ..Agent::default()
+        };
         if !self.agents.contains_key(name) {
             let agent = self.dismissal.readmit(name, agent);
             self.agents.insert(name.to_owned(), agent);
@@ -38,7 +44,7 @@
         self.add_agent(agent, now);
         let epoch = self.epoch;
         if let Some(known) = self.agents.get_mut(agent) {
-            known.told = now;
+            known.last_notice_at = now;
             known.fenced = false;
             if let Some(former) = known.link.replace(link) {
                 self.links.remove(&former);
@@ -80,10 +86,11 @@
         silent: u64,
         now: u64,
     ) {
-        let bound = self.settings.quorum_window;
-        let reachable = |agent: &&Agent| agent.link.is_some() && now <= agent.told + bound;
+        let bound = self.settings.quorum_age;
+        let reachable =
+            |agent: &&Agent| agent.link.is_some() && now <= agent.last_notice_at + bound;
         let quorum = self.agents.values().filter(reachable).count() * 2 > self.agents.len();
-        let unconfirmed = now.saturating_sub(self.confirmed);
+        let unconfirmed = now.saturating_sub(self.confirmed_at);
         if unconfirmed > self.settings.grants_stop_after
             || (unconfirmed > self.settings.quorum_after && !quorum)
         {
@@ -92,8 +99,8 @@
         let Some(agent) = self.agents.get_mut(name) else { return };
         let age = if silent >= self.settings.answer_overdue { silent } else { 0 };
         let lapse = (now + self.settings.lease + self.settings.lease_margin).saturating_sub(age);
-        self.replan |= !agent.leased(&self.settings, now);
-        agent.lapse = agent.lapse.max(lapse);
+        self.replan |= !agent.has_lease(&self.settings, now);
+        agent.leases_expire_at = agent.leases_expire_at.max(lapse);
         self.send(link, Order::Grant { stamp: stamp.saturating_sub(age) });
     }
 
@@ -102,15 +109,15 @@
     pub(crate) fn update_silence(&mut self, name: &str, silent: u64) {
         let Some(agent) = self.agents.get_mut(name) else { return };
         let bound = self.settings.unresponsive_after;
-        self.replan |= agent.silent >= bound && silent < bound;
-        agent.silent = silent;
+        self.replan |= agent.silent_ms >= bound && silent < bound;
+        agent.silent_ms = silent;
     }
 
     /// Closes connections without traffic for `connection_timeout`. A connection may stay open
     /// without carrying data while a new one would; only the missing pings reveal it.
     pub(crate) fn close_unresponsive(&mut self, now: u64) {
         let bound = self.settings.connection_timeout;
-        let silent = self.agents.values().filter(|agent| now > agent.told + bound);
+        let silent = self.agents.values().filter(|agent| now > agent.last_notice_at + bound);
         let links: Vec<LinkId> = silent.filter_map(|agent| agent.link).collect();
         for link in links {
             self.on_disconnected(link);
@@ -123,9 +130,9 @@
         let bound = self.settings.lease + self.settings.lease_margin;
         let mut lost = Vec::new();
         for (name, agent) in &self.agents {
-            let unlinked = agent.link.is_none() && now >= agent.lapse;
-            let unknown = agent.unknown.is_some_and(|since| now >= since + bound);
-            if unlinked || unknown || agent.silent >= bound {
+            let unlinked = agent.link.is_none() && now >= agent.leases_expire_at;
+            let unknown = agent.no_worker_since.is_some_and(|since| now >= since + bound);
+            if unlinked || unknown || agent.silent_ms >= bound {
                 lost.push(name.clone());
             }
         }
@@ -133,10 +140,10 @@
         for name in lost {
             self.attribute_crash(&name);
             // Runs that started later are not covered by this silence.
-            let old = |placed: &Placed| placed.agent == name && now >= placed.began + bound;
+            let old = |placed: &Placement| placed.agent == name && now >= placed.started_at + bound;
             for (id, key) in self.runs_where(old) {
                 self.log("run lapsed", &id, format!("{key:?} at {name}"));
-                self.drop_run(&id, key);
+                self.remove_run(&id, key);
             }
         }
     }
@@ -145,7 +152,7 @@
     fn expire_dismissed(&mut self, now: u64) {
         for (id, key) in self.runs_where(|placed| self.dismissal.has_lapsed(&placed.agent, now)) {
             self.log("run lapsed", &id, format!("{key:?}: its agent was dismissed"));
-            self.drop_run(&id, key);
+            self.remove_run(&id, key);
         }
     }
 
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -25,13 +25,13 @@
 impl Owner {
     /// The next batch to record; none while one is in flight. [`Owner::on_recorded`] must follow.
     pub fn next_batch(&mut self) -> Option<Batch> {
-        if self.recording {
+        if self.record_in_flight {
             return None;
         }
         let ids: Vec<Id> = self.dirty.iter().take(MAX_JOBS).cloned().collect();
         let mut batch =
-            Batch { times: self.learned.then(|| self.times.clone()), ..Batch::default() };
-        self.learned = false;
+            Batch { times: self.times_changed.then(|| self.times.clone()), ..Batch::default() };
+        self.times_changed = false;
         for id in ids {
             self.dirty.remove(&id);
             if let Some(entry) = self.jobs.get(&id) {
@@ -39,18 +39,20 @@
             }
         }
         if self.dirty.is_empty() {
-            for (name, agent) in self.agents.iter().filter(|(_, agent)| agent.noted > agent.seen) {
+            for (name, agent) in
+                self.agents.iter().filter(|(_, agent)| agent.last_end > agent.acknowledged_end)
+            {
                 let Some(worker) = &agent.worker else { continue };
-                let (agent, worker, number) = (name.clone(), worker.incarnation(), agent.noted);
+                let (agent, worker, number) = (name.clone(), worker.incarnation(), agent.last_end);
                 batch.acknowledged.push(AcknowledgedEnds { agent, worker, number });
             }
-            self.urgent = false;
+            self.dirty_urgent = false;
         }
         batch.departed = self.departed_agents().into_iter().take(MAX_DEPARTED).collect();
         self.set_dropping(&batch.departed, true);
         batch.checkpoints = self.due_checkpoints();
         batch.waves = self.unrecorded_waves();
-        self.recording = true;
+        self.record_in_flight = true;
         Some(batch)
     }
 
@@ -58,13 +60,15 @@
     /// `checkpoint_interval`, along with other changes.
     fn due_checkpoints(&mut self) -> Vec<(Id, Checkpoints)> {
         let (now, interval) = (self.now, self.settings.checkpoint_interval);
-        let due = |entry: &&mut Entry| entry.unsaved && now >= entry.kept + interval;
+        let due = |entry: &&mut Entry| {
+            entry.checkpoints_dirty && now >= entry.checkpoints_recorded_at + interval
+        };
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter_mut() {
             if found.len() < MAX_CHECKPOINTED_JOBS && due(&entry) {
-                entry.unsaved = false;
-                entry.kept = now;
-                found.push((id.clone(), entry.checkpoints(id)));
+                entry.checkpoints_dirty = false;
+                entry.checkpoints_recorded_at = now;
+                found.push((id.clone(), entry.open_checkpoints(id)));
             }
         }
         found
@@ -80,8 +84,8 @@
         let bound =
             self.settings.lease + self.settings.lease_margin + self.settings.absence_timeout;
         let departed = |agent: &Agent| {
-            let absent = agent.absent.is_some_and(|since| self.now >= since + bound);
-            self.settled && (agent.left || absent)
+            let absent = agent.absent_since.is_some_and(|since| self.now >= since + bound);
+            self.settled && (agent.worker_left || absent)
         };
         let runs: BTreeSet<&str> = self
             .jobs
@@ -97,31 +101,32 @@
 
     /// True if clients wait for a change that is not recorded yet.
     pub fn has_urgent_changes(&self) -> bool {
-        self.urgent
+        self.dirty_urgent
     }
 
     /// True if there are unrecorded changes or unacknowledged ends.
     pub fn has_unrecorded(&self) -> bool {
-        !self.dirty.is_empty() || self.agents.values().any(|agent| agent.noted > agent.seen)
+        !self.dirty.is_empty()
+            || self.agents.values().any(|agent| agent.last_end > agent.acknowledged_end)
     }
 
     /// Handles the result of recording a batch. If it is not `done`, its content becomes due again.
     pub fn on_recorded(&mut self, batch: &Batch, done: bool) {
-        self.recording = false;
+        self.record_in_flight = false;
         if !done {
             self.set_dropping(&batch.departed, false);
             for (id, _) in &batch.jobs {
                 self.dirty.insert(id.clone());
             }
-            self.urgent = true;
-            self.learned |= batch.times.is_some();
+            self.dirty_urgent = true;
+            self.times_changed |= batch.times.is_some();
             for (number, _) in &batch.waves {
                 self.mark_unrecorded(*number);
             }
             for (id, _) in &batch.checkpoints {
                 if let Some(entry) = self.jobs.get_mut(id) {
-                    entry.unsaved = true;
-                    entry.kept = 0;
+                    entry.checkpoints_dirty = true;
+                    entry.checkpoints_recorded_at = 0;
                 }
             }
             return;
@@ -131,7 +136,7 @@
         }
         for name in &batch.departed {
             // An agent that has announced itself since then is a member again.
-            if self.agents.get(name).is_some_and(|agent| agent.dropping) {
+            if self.agents.get(name).is_some_and(|agent| agent.removal_pending) {
                 self.dismiss(name);
             }
         }
@@ -148,7 +153,7 @@
     fn acknowledge(&mut self, ends: &AcknowledgedEnds) {
         let Some(agent) = self.agents.get_mut(&ends.agent) else { return };
         if agent.worker.as_ref().is_some_and(|worker| worker.is(&ends.worker)) {
-            agent.seen = agent.seen.max(ends.number);
+            agent.acknowledged_end = agent.acknowledged_end.max(ends.number);
             if let Some(link) = agent.link {
                 let (worker, number) = (ends.worker.clone(), ends.number);
                 self.send(link, Order::Seen { worker, number });
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -13,7 +13,7 @@
     /// within this time among those that it speaks to: a ping, and a tenth for its
     /// way. Connections that a cut has silenced were counted for 2.5 s, and leases
     /// granted for up to 0.8 s beyond what a successor reckons with.
-    pub quorum_window: u64,
+    pub quorum_age: u64,
     /// A worker that has owed an answer for so long gets leases from its last answer
     /// only. A look takes up to 1,000 ms, its repeat 400, and a ping is a second old.
     pub answer_overdue: u64,
@@ -66,7 +66,7 @@
             lease: 6000,
             lease_margin: 200,
             connection_timeout: 2500,
-            quorum_window: 1100,
+            quorum_age: 1100,
             answer_overdue: 1800,
             unresponsive_after: 3000,
             quorum_after: 1500,
--- a/crates/dispatch/src/settlement.rs
+++ b/crates/dispatch/src/settlement.rs
@@ -1,9 +1,9 @@
 //! Logs the members that a new owner waits for before it starts older jobs.
 
+use crate::close_reason::CloseReason;
 use crate::detail::list;
-use crate::lack::Lack;
 use crate::owner::Owner;
-use crate::waits::BOUND;
+use crate::waits::MIN_LOGGED_WAIT_MS;
 
 /// Shortest time between two log lines about the members.
 const LOG_INTERVAL_MS: u64 = 1000;
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct SettlementLog {
     /// The members, with what each lacks.
-    logged: Vec<(String, Lack)>,
+    logged: Vec<(String, CloseReason)>,
     /// When the members are next scanned.
     next_scan: u64,
 }
@@ -23,8 +23,8 @@
 impl Owner {
     /// Logs which members older jobs wait for, and why: one line for all jobs.
     pub(crate) fn log_unsettled(&mut self, now: u64, wall: u64) {
-        let waited = now - self.claimed;
-        if self.settled || waited < BOUND || now < self.awaited.next_scan {
+        let waited = now - self.claimed_at;
+        if self.settled || waited < MIN_LOGGED_WAIT_MS || now < self.awaited.next_scan {
             return;
         }
         let members = self.awaited_members(now);
@@ -44,10 +44,14 @@
     }
 
     /// The members that may still run tasks started by a former owner, with what each lacks.
-    fn awaited_members(&self, now: u64) -> Vec<(String, Lack)> {
-        let (last, lease) = self.former_grants();
-        let agents = self.agents.iter().filter(|(_, agent)| !agent.clear(last, lease, now));
-        let lack = |agent| Lack::of(agent, &self.settings, self.now).unwrap_or(Lack::Answer);
+    fn awaited_members(&self, now: u64) -> Vec<(String, CloseReason)> {
+        let (last, lease) = self.predecessor_grants();
+        let agents = self
+            .agents
+            .iter()
+            .filter(|(_, agent)| !agent.is_clear_of_predecessors(last, lease, now));
+        let lack =
+            |agent| CloseReason::of(agent, &self.settings, self.now).unwrap_or(CloseReason::Answer);
         agents.map(|(name, agent)| (name.clone(), lack(agent))).collect()
     }
 }
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -9,11 +9,11 @@
 use quincewheel_policy::{APART, CRASHES};
 use quincewheel_wire::list_starts;
 
-use crate::board::Board;
 use crate::candidate::Candidate;
-use crate::entry::{Entry, Key, Placed};
+use crate::entry::{Entry, Key, Placement};
 use crate::owner::Owner;
 use crate::reports::task_key;
+use crate::snapshot::Snapshot;
 
 /// Most crashes with several suspects that are remembered. A task that is retried alone crashes
 /// its worker within a second, and few workers crash in that time.
@@ -40,7 +40,7 @@
         self.log("worker broke", name, format!("{worker} just after {}", list_starts(&starts)));
         let Some(agent) = self.agents.get_mut(name) else { return };
         let current = agent.worker.as_ref().filter(|known| known.is(&worker));
-        if current.is_some_and(|worker| worker.draining) || agent.doomed {
+        if current.is_some_and(|worker| worker.draining) || agent.shutdown_requested {
             return;
         }
         let later = current.is_none() && agent.worker.is_some();
@@ -69,9 +69,9 @@
             [] => {}
             [(culprit, _)] => self.exonerate_others(culprit),
             _ => {
-                self.shared.push(starts.into_iter().map(|(task, _)| task).collect());
-                if self.shared.len() > MAX_SHARED_CRASHES {
-                    self.shared.remove(0);
+                self.suspect_groups.push(starts.into_iter().map(|(task, _)| task).collect());
+                if self.suspect_groups.len() > MAX_SHARED_CRASHES {
+                    self.suspect_groups.remove(0);
                 }
             }
         }
@@ -82,10 +82,10 @@
     /// faulty tasks.
     fn exonerate_others(&mut self, culprit: &Task) {
         let with_culprit = |tasks: &mut Vec<Task>| tasks.contains(culprit);
-        let others: Vec<Vec<Task>> = self.shared.extract_if(.., with_culprit).collect();
+        let others: Vec<Vec<Task>> = self.suspect_groups.extract_if(.., with_culprit).collect();
         for task in others.iter().flatten().filter(|task| *task != culprit) {
             let Some(entry) = self.jobs.get_mut(&task.job) else { continue };
-            entry.explained.insert(entry.key(task_key(task)));
+            entry.exonerated.insert(entry.slot(task_key(task)));
             self.replan = true;
         }
     }
@@ -100,7 +100,7 @@
         }
         // A task that has outlived a start is not the cause. But a delayed list may have shown
         // it alive after the crash, so it still counts if it was the only one.
-        if among > 1 && entry.sound.contains(&entry.key(task_key(task))) {
+        if among > 1 && entry.survived_start.contains(&entry.slot(task_key(task))) {
             return;
         }
         let before = entry.progress.crashes(&entry.job, task);
@@ -108,14 +108,14 @@
         if crashes == before {
             return;
         }
-        entry.explained.remove(&entry.key(task_key(task)));
-        entry.unrecorded = true;
-        entry.reserved.remove(&(task.occurrence, task.step));
+        entry.exonerated.remove(&entry.slot(task_key(task)));
+        entry.crash_unrecorded = true;
+        entry.reservations.remove(&(task.occurrence, task.step));
         let detail = format!(
             "{task} run {run} at {name}, one of {among} just started there: {crashes} of {CRASHES}"
         );
         self.log("crash suspected", &task.job, detail);
-        self.touch(&task.job, true);
+        self.mark_dirty(&task.job, true);
         if crashes >= CRASHES {
             self.end_job(&task.job, State::Failed, self.now);
         }
@@ -124,8 +124,9 @@
     /// Lets a job's tasks start again once its crashes are recorded: a new owner will know them.
     pub(crate) fn on_progress_recorded(&mut self, id: &str) {
         let newer = self.dirty.contains(id);
-        if let Some(entry) = self.jobs.get_mut(id).filter(|entry| entry.unrecorded && !newer) {
-            entry.unrecorded = false;
+        if let Some(entry) = self.jobs.get_mut(id).filter(|entry| entry.crash_unrecorded && !newer)
+        {
+            entry.crash_unrecorded = false;
             self.replan = true;
         }
     }
@@ -145,14 +146,14 @@
         for run in running {
             let Some(entry) = self.jobs.get_mut(&run.task.job) else { continue };
             let Some(placed) = entry.runs.get_mut(&task_key(&run.task)) else { continue };
-            if placed.worker != *worker || placed.run != run.number || placed.outlived {
+            if placed.worker != *worker || placed.run != run.number || placed.survived_start {
                 continue;
             }
             // An agent's clock starts from zero when its machine reboots.
-            let first = placed.listed.map_or(stamp, |first| first.min(stamp));
-            placed.listed = Some(first);
-            placed.outlived = stamp >= first + APART;
-            if placed.outlived && entry.gang_outlived(task_key(&run.task)) {
+            let first = placed.first_listed_at.map_or(stamp, |first| first.min(stamp));
+            placed.first_listed_at = Some(first);
+            placed.survived_start = stamp >= first + APART;
+            if placed.survived_start && entry.gang_survived_start(task_key(&run.task)) {
                 self.on_start_outlived(&run.task);
             }
         }
@@ -162,20 +163,20 @@
     /// crashes each one it starts at.
     pub(crate) fn on_start_outlived(&mut self, task: &Task) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        entry.sound.insert(entry.key(task_key(task)));
+        entry.survived_start.insert(entry.slot(task_key(task)));
         self.clear_suspect(task, "it outlived its start");
     }
 
     /// Resets a task's crash count. `why` is for the log.
     fn clear_suspect(&mut self, task: &Task, why: &str) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
-        if entry.crashes(&task.job, task_key(task)) == 0 {
+        if entry.consecutive_crashes(&task.job, task_key(task)) == 0 {
             return;
         }
         entry.progress.clear(&entry.job, task);
         self.replan = true;
         self.log("crash cleared", &task.job, format!("{task}: {why}"));
-        self.touch(&task.job, false);
+        self.mark_dirty(&task.job, false);
     }
 
     /// Places a suspect where a crash loses the least work: on as few of the least used workers
@@ -184,18 +185,18 @@
         &mut self,
         candidate: &Candidate,
         (step, pool): (&Step, &str),
-        (board, barred): (&mut Board, &[usize]),
+        (snapshot, barred): (&mut Snapshot, &[usize]),
         time: (u64, u64),
     ) -> Vec<usize> {
-        let mut order = board.least_used();
+        let mut order = snapshot.least_used();
         order.retain(|place| !barred.contains(place));
         let mut workers = 1;
         loop {
             let open: BTreeSet<usize> = order.iter().take(workers).copied().collect();
             let closed: Vec<usize> =
-                (0..board.spots.len()).filter(|place| !open.contains(place)).collect();
-            let spared = self.place_on_rest(candidate, (step, pool), (board, &closed), time);
-            if self.unplaced(candidate) == 0 || workers >= order.len() {
+                (0..snapshot.spots.len()).filter(|place| !open.contains(place)).collect();
+            let spared = self.place_elsewhere(candidate, (step, pool), (snapshot, &closed), time);
+            if self.unplaced_tasks(candidate) == 0 || workers >= order.len() {
                 return spared;
             }
             workers *= 2;
@@ -205,9 +206,9 @@
     /// The places where a candidate must not start now, so that a crash can be attributed to one
     /// task: for a suspect all places with a recent start, for others those with a recent start
     /// of a suspect.
-    pub(crate) fn excluded_places(&self, candidate: &Candidate, board: &Board) -> Vec<usize> {
+    pub(crate) fn excluded_places(&self, candidate: &Candidate, snapshot: &Snapshot) -> Vec<usize> {
         let excluded = |fresh: RecentStart| candidate.suspect || fresh == RecentStart::Suspect;
-        let fresh = board.fresh.iter().filter(|(_, fresh)| excluded(**fresh));
+        let fresh = snapshot.recent_starts.iter().filter(|(_, fresh)| excluded(**fresh));
         fresh.map(|(place, _)| *place).collect()
     }
 }
@@ -229,11 +230,21 @@
     }
 
     /// Classifies a run; none if it is not recent or has outlived its start.
-    pub fn of(id: &str, entry: &Entry, key: Key, placed: &Placed, now: u64) -> Option<RecentStart> {
-        if placed.outlived || now >= placed.confirmed.unwrap_or(now) + APART {
+    pub fn of(
+        id: &str,
+        entry: &Entry,
+        key: Key,
+        placed: &Placement,
+        now: u64,
+    ) -> Option<RecentStart> {
+        if placed.survived_start || now >= placed.confirmed_at.unwrap_or(now) + APART {
             return None;
         }
-        Some(if entry.crashes(id, key) > 0 { RecentStart::Suspect } else { RecentStart::Any })
+        Some(if entry.consecutive_crashes(id, key) > 0 {
+            RecentStart::Suspect
+        } else {
+            RecentStart::Any
+        })
     }
 }
 
@@ -253,16 +264,16 @@
     if !entry.progress.suspected() {
         return vec![(tasks, false)];
     }
-    let slot = |index: u32| entry.key((occurrence, step, index));
-    let open = |slot: &Key| !entry.explained.contains(slot);
-    let in_progress = |(key, placed): (&Key, &Placed)| {
-        open(&entry.key(*key))
+    let slot = |index: u32| entry.slot((occurrence, step, index));
+    let open = |slot: &Key| !entry.exonerated.contains(slot);
+    let in_progress = |(key, placed): (&Key, &Placement)| {
+        open(&entry.slot(*key))
             && RecentStart::of(id, entry, *key, placed, now) == Some(RecentStart::Suspect)
     };
-    if entry.unrecorded || entry.runs.iter().any(in_progress) {
+    if entry.crash_unrecorded || entry.runs.iter().any(in_progress) {
         return Vec::new();
     }
-    let crashed = |index: &u32| entry.crashes(id, slot(*index)) > 0;
+    let crashed = |index: &u32| entry.consecutive_crashes(id, slot(*index)) > 0;
     let (suspects, others): (Vec<u32>, Vec<u32>) = tasks.into_iter().partition(crashed);
     let gang = entry.job.steps.get(step as usize).is_some_and(|step| step.gang);
     let mut groups = match gang && !suspects.is_empty() {
@@ -285,9 +296,9 @@
 
 /// True if tasks of the step must wait for a suspect of their job that has not been retried.
 fn waits_for_suspect(entry: &Entry, step: (u32, u32), now: u64) -> bool {
-    let runs = |slot: &Key| entry.runs.keys().any(|key| entry.key(*key) == *slot);
-    let waiting = |slot: &Key| !entry.explained.contains(slot) && !runs(slot);
-    let within_delay = entry.idle.is_none_or(|since| now < since + OTHER_STEPS_DELAY_MS);
+    let runs = |slot: &Key| entry.runs.keys().any(|key| entry.slot(*key) == *slot);
+    let waiting = |slot: &Key| !entry.exonerated.contains(slot) && !runs(slot);
+    let within_delay = entry.idle_since.is_none_or(|since| now < since + OTHER_STEPS_DELAY_MS);
     let blocks = |slot: Key| within_delay || (slot.0, slot.1) == step;
     entry.progress.suspects().filter(waiting).any(blocks)
 }
--- a/crates/dispatch/src/unlisted.rs
+++ b/crates/dispatch/src/unlisted.rs
@@ -2,7 +2,7 @@
 
 use quincewheel_job::Id;
 
-use crate::entry::{Key, Phase, Placed};
+use crate::entry::{Key, Phase, Placement};
 use crate::owner::{Owner, task};
 
 /// Shortest time between two scans for such runs. Each scan covers all runs.
@@ -21,19 +21,20 @@
     /// worker that received a stop never starts the run, so its task may start elsewhere once the
     /// stop is confirmed and the next poll does not list the run.
     pub(crate) fn stop_unlisted(&mut self, now: u64) {
-        if now < self.sought + SCAN_INTERVAL_MS {
+        if now < self.unlisted_checked_at + SCAN_INTERVAL_MS {
             return;
         }
-        self.sought = now;
+        self.unlisted_checked_at = now;
         for (id, key) in self.not_listed_for(now, self.settings.missing_timeout) {
             self.log("run missing", &id, format!("{key:?} is not listed, and is stopped"));
-            self.stop(&id, key, now);
+            self.stop_run(&id, key, now);
         }
     }
 
     /// Active runs that their responsive workers have not listed for at least `bound`.
     fn not_listed_for(&self, now: u64, bound: u64) -> Vec<(Id, Key)> {
-        let old = |placed: &Placed| placed.phase == Phase::Running && now >= placed.since + bound;
+        let old =
+            |placed: &Placement| placed.phase == Phase::Running && now >= placed.updated_at + bound;
         let runs = self.jobs.iter().flat_map(|(id, entry)| entry.runs.iter().map(move |r| (id, r)));
         let missing =
             runs.filter(|(id, (key, placed))| old(placed) && self.is_unlisted(id, **key, placed));
@@ -41,10 +42,10 @@
     }
 
     /// True if the run's worker answers and its last list does not contain the run.
-    fn is_unlisted(&self, id: &str, key: Key, placed: &Placed) -> bool {
+    fn is_unlisted(&self, id: &str, key: Key, placed: &Placement) -> bool {
         let Some(agent) = self.agents.get(&placed.agent) else { return false };
         let current = agent.worker.as_ref().is_some_and(|worker| worker.is(&placed.worker));
         let run = (task(id, key), placed.run);
-        current && agent.fenced && agent.link.is_some() && !agent.listed.contains(&run)
+        current && agent.fenced && agent.link.is_some() && !agent.listed_runs.contains(&run)
     }
 }
--- a/crates/runner/src/incarnations.rs
+++ b/crates/runner/src/incarnations.rs
@@ -3,9 +3,9 @@
 use quincewheel_job::{Incarnation, Worker};
 use quincewheel_wire::Notice;
 
-use crate::beat::Beat;
 use crate::call::Action;
 use crate::crashed::Crashed;
+use crate::heartbeat::Heartbeat;
 use crate::pending::Pending;
 use crate::rival::Rival;
 use crate::runner::Runner;
@@ -17,8 +17,8 @@
 
 impl Runner {
     /// The worker reported itself.
-    pub fn beat(&mut self, beat: &Beat<'_>, now: u64) {
-        let Beat { worker, address, clock, number } = *beat;
+    pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat<'_>, now: u64) {
+        let Heartbeat { worker, address, clock, number } = *heartbeat;
         // An incarnation that was replaced does not come back; a report of it was held up
         // on its way. Believed, all that runs on the incarnation that is there would be
         // taken for lost, and would start elsewhere beside itself.
@@ -40,7 +40,7 @@
                 session.worker = worker.clone();
                 session.reported = now;
                 address.clone_into(&mut session.address);
-                self.lease.observe(clock, now);
+                self.lease.set_worker_clock(clock, now);
                 if changed {
                     self.tell_status(now);
                 }
@@ -50,7 +50,7 @@
             Some(session) if session.proven && self.epoch > 0 => {
                 let rival = self.rival.as_ref();
                 let again = rival.is_some_and(|rival| rival.worker.is(&worker.incarnation()));
-                if again && now > session.reported + self.settings.reports {
+                if again && now > session.reported + self.settings.heartbeat_timeout {
                     self.change_session(now);
                     return self.step(now);
                 }
@@ -62,7 +62,7 @@
             }
             _ => {
                 self.replace(worker, address, number, now);
-                self.lease.observe(clock, now);
+                self.lease.set_worker_clock(clock, now);
                 self.tell_status(now);
             }
         }
@@ -71,7 +71,7 @@
 
     /// Another incarnation of the worker is there.
     pub(crate) fn replace(&mut self, worker: &Worker, address: &str, number: u64, now: u64) {
-        self.lease.forget_clock();
+        self.lease.clear_worker_clock();
         self.incarnations += 1;
         self.left = None;
         let mut session = Session::open(worker, address, now);
@@ -97,7 +97,7 @@
     ///
     /// Where ids are kept, the id alone may be a former incarnation's, whose report was held up.
     /// It is believed of one that has said that it drains, as each does before a planned end.
-    pub fn leave(&mut self, worker: &Incarnation, now: u64) {
+    pub fn on_leave(&mut self, worker: &Incarnation, now: u64) {
         let ends = |known: &Worker| {
             let told = known.is(worker) || (worker.born == 0 && known.draining);
             known.id == worker.id && told
@@ -122,7 +122,7 @@
         // A list that does not say which start it is of is another writer's.
         if born == 0 {
             session.changed = true;
-            session.rest = now + self.settings.pause;
+            session.rest = now + self.settings.retry_delay;
             return;
         }
         let met = Incarnation { id: session.worker.id.clone(), born };
--- a/crates/runner/src/runner.rs
+++ b/crates/runner/src/runner.rs
@@ -15,7 +15,7 @@
 /// What the runner wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Call the worker and hand the answer to [`Runner::answer`].
+    /// Call the worker and hand the answer to [`Runner::on_reply`].
     Call {
         /// Names the call.
         id: u64,
@@ -92,7 +92,7 @@
     }
 
     /// The bounds changed.
-    pub fn tune(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// True if there is a worker and no owner speaks for it.
-    pub fn is_alone(&self) -> bool {
+    pub fn awaits_owner(&self) -> bool {
         self.session.is_some() && self.link.is_none()
     }
 
@@ -117,17 +117,17 @@
     }
 
     /// How many incarnations of the worker have reported.
-    pub fn incarnations(&self) -> u64 {
+    pub fn incarnation_count(&self) -> u64 {
         self.incarnations
     }
 
     /// How many reports of the worker were taken.
-    pub fn reports(&self) -> u64 {
+    pub fn heartbeat_count(&self) -> u64 {
         self.reports
     }
 
     /// An order came.
-    pub fn order(&mut self, link: LinkId, order: Order, now: u64) {
+    pub fn on_order(&mut self, link: LinkId, order: Order, now: u64) {
         if self.link == Some(link) {
             self.spoken = now;
         }
@@ -140,14 +140,14 @@
     }
 
     /// A connection is gone.
-    pub fn unlinked(&mut self, link: LinkId) {
+    pub fn on_disconnect(&mut self, link: LinkId) {
         if self.link == Some(link) {
             self.link = None;
         }
     }
 
     /// The worker answered a call, or did not.
-    pub fn answer(&mut self, id: u64, answer: Result<Reply, Fault>, now: u64) {
+    pub fn on_reply(&mut self, id: u64, answer: Result<Reply, Fault>, now: u64) {
         // A refusal is no such answer: an unhealthy worker that refused every look
         // kept its silence at nothing, and a new owner waited for it without end.
         let proves = matches!(answer, Ok(Reply::Held { .. } | Reply::Done { .. }));
@@ -177,7 +177,7 @@
     /// Time passed.
     pub fn tick(&mut self, now: u64) {
         self.leave_silent(now);
-        if now >= self.pinged + self.settings.ping
+        if now >= self.pinged + self.settings.ping_interval
             && let Some(link) = self.link
         {
             self.pinged = now;
@@ -204,10 +204,10 @@
     ///
     /// Without a connection no ping is due: the agent would wake up 200 times a
     /// second for as long as no owner speaks to it.
-    pub fn wake(&self, now: u64) -> u64 {
-        let mut wake = now + self.settings.ping;
+    pub fn next_tick(&self, now: u64) -> u64 {
+        let mut wake = now + self.settings.ping_interval;
         if self.link.is_some() {
-            wake = wake.min(self.pinged + self.settings.ping);
+            wake = wake.min(self.pinged + self.settings.ping_interval);
         }
         if let Some(session) = &self.session {
             let again = session.orders.values().filter_map(|pending| pending.again);
@@ -261,7 +261,7 @@
             Order::Grant { stamp } => self.lease.grant(stamp + self.settings.lease),
             Order::Evacuate { zones } => self.evacuation = zones,
             Order::Start { worker, task, run, spec, saved, ticket, again } => {
-                let action = Action::Start { task, run, spec, saved, ticket, until: 0 };
+                let action = Action::Start { task, run, spec, saved, ticket, lease_end: 0 };
                 self.start(&worker, action, again, now);
             }
             Order::Pace { worker, task, run, percent } => self.pace(&worker, task, run, percent),
@@ -281,12 +281,12 @@
     /// Makes the calls that are due.
     pub(crate) fn step(&mut self, now: u64) {
         let Some(session) = &mut self.session else { return };
-        let quiet = now >= session.reported + self.settings.reports;
+        let quiet = now >= session.reported + self.settings.heartbeat_timeout;
         session.changed |= quiet && session.hold.is_none();
         if !session.busy(self.epoch) && session.orders.is_empty() {
             session.answered = now;
         }
-        let until = self.lease.until(session.answered + self.settings.lease);
+        let until = self.lease.end_on_worker_clock(session.answered + self.settings.lease);
         let settings = &self.settings;
         let due = |pending: &Pending| pending.again.is_some_and(|at| at <= now);
         let ids: Vec<u64> =
@@ -296,12 +296,12 @@
             // earlier one that comes late is not taken for this one's.
             let Some(mut pending) = session.orders.remove(&id) else { continue };
             pending.again = None;
-            if let (Action::Start { until: lease, .. }, Some(renewed)) =
+            if let (Action::Start { lease_end: lease, .. }, Some(renewed)) =
                 (&mut pending.action, until)
             {
                 *lease = renewed;
             }
-            let call = session.call(self.epoch, pending.action.clone(), settings.answer);
+            let call = session.call(self.epoch, pending.action.clone(), settings.call_timeout);
             let id = self.next_call;
             self.next_call += 1;
             session.orders.insert(id, pending);
@@ -310,15 +310,15 @@
         if session.hold.is_none() && session.busy(self.epoch) && now >= session.rest {
             let fresh = session.fenced == self.epoch && session.ended.is_empty();
             let idle = session.running.is_empty() && session.orders.is_empty();
-            let seen = session.acknowledged();
+            let acknowledged = session.acknowledged();
             let waits = fresh && !idle && !session.owes_acknowledgement();
-            let wait = if waits { settings.wait } else { 0 };
-            let action = Action::Hold { seen, until, wait };
-            let call = session.call(self.epoch, action, wait + settings.answer);
+            let wait = if waits { settings.poll_wait } else { 0 };
+            let action = Action::Hold { acknowledged, lease_end: until, wait };
+            let call = session.call(self.epoch, action, wait + settings.call_timeout);
             let id = self.next_call;
             self.next_call += 1;
             session.hold = Some((id, self.epoch));
-            session.asked = seen;
+            session.asked = acknowledged;
             session.changed = false;
             self.outputs.push(Output::Call { id, call });
         }
--- a/crates/runner/tests/world/mod.rs
+++ b/crates/runner/tests/world/mod.rs
@@ -9,7 +9,7 @@
 
 use quincewheel_dispatch::{Output as Decision, Owner, Settings as Bounds};
 use quincewheel_job::{Evacuation, How, Job, Need, Progress, Queue, Run, Step, Task, Worker};
-use quincewheel_runner::{Beat, Call, Fault, Output, Runner, Settings};
+use quincewheel_runner::{Call, Fault, Heartbeat, Output, Runner, Settings};
 use quincewheel_wire::Order;
 
 use side::clock;
@@ -52,7 +52,7 @@
     /// An owner under `epoch` that has just claimed and knows the agents of so many
     /// workers, to which it is not connected yet.
     pub fn open(epoch: u64, workers: usize) -> World {
-        let mut owner = Owner::open(self::bounds(), epoch, CLAIM, BEGIN);
+        let mut owner = Owner::new(self::bounds(), epoch, CLAIM, BEGIN);
         for number in 0..workers {
             owner.add_agent(&format!("w{number}"), BEGIN);
         }
@@ -75,14 +75,14 @@
     /// A client submits a job.
     pub fn submit(&mut self, name: &str, job: Job, version: u64) {
         self.jobs.push((name.to_owned(), job.clone(), version));
-        self.owner.job(name, job, version, None);
+        self.owner.add_job(name, job, version, None);
     }
 
     /// Another entry owns from now on, and knows what was recorded.
     pub fn take_over(&mut self, epoch: u64) {
         let now = self.now;
-        self.owner = Owner::open(self::bounds(), epoch, CLAIM * 10 * epoch, now);
-        self.owner.former_ended();
+        self.owner = Owner::new(self::bounds(), epoch, CLAIM * 10 * epoch, now);
+        self.owner.predecessor_ended();
         // It has read all rows.
         self.owner.set_evacuation(&self.operators, now);
         for number in 0..self.sides.len() {
@@ -90,7 +90,7 @@
         }
         for (name, job, version) in &self.jobs {
             let progress = self.recorded.get(name).cloned();
-            self.owner.job(name, job.clone(), *version, progress);
+            self.owner.add_job(name, job.clone(), *version, progress);
         }
         for number in 0..self.sides.len() {
             self.link(number);
@@ -108,7 +108,7 @@
         let side = &mut self.sides[number];
         let zone = side.zone.clone();
         let worker = Worker { born: side.born, zone, ..worker(number, side.lives) };
-        side.runner.beat(&beat(&worker, "10.0.0.1:80", side.clock(now)), now);
+        side.runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", side.clock(now)), now);
         side.report = Some(now + REPORTS);
     }
 
@@ -136,7 +136,7 @@
         let side = &mut self.sides[number];
         for (_, id, _) in std::mem::take(&mut side.calls) {
             let fault = Fault::Unclear { closed: true, detail: "closed".into() };
-            side.runner.answer(id, Err(fault), now);
+            side.runner.on_reply(id, Err(fault), now);
         }
     }
 
@@ -173,7 +173,7 @@
     pub fn late_report(&mut self, number: usize) {
         let now = self.now;
         let late = worker(number, 0);
-        self.sides[number].runner.beat(&beat(&late, "10.0.0.1:80", clock(now)), now);
+        self.sides[number].runner.on_heartbeat(&heartbeat(&late, "10.0.0.1:80", clock(now)), now);
     }
 
     /// A worker reports no more.
@@ -210,7 +210,7 @@
                 self.wake(number);
             }
             if self.confirmed {
-                self.owner.confirm(self.now);
+                self.owner.confirm_ownership(self.now);
             }
             if self.reads {
                 self.owner.set_evacuation(&self.operators, self.now);
@@ -252,11 +252,11 @@
     fn exchange(&mut self) {
         for _ in 0..ROUNDS {
             let mut quiet = true;
-            for decision in self.owner.outputs() {
+            for decision in self.owner.take_outputs() {
                 if let Decision::Send { link, order } = decision {
                     quiet = false;
                     self.note(link, &order);
-                    self.sides[link as usize].runner.order(link, order, self.now);
+                    self.sides[link as usize].runner.on_order(link, order, self.now);
                 }
             }
             for number in 0..self.sides.len() {
@@ -279,7 +279,7 @@
         for output in outputs {
             match output {
                 Output::Call { id, call } => side.calls.push((side.due(&call, now), id, call)),
-                Output::Send { link, notice } => self.owner.notice(link, notice, now),
+                Output::Send { link, notice } => self.owner.on_notice(link, notice, now),
                 // The owner notices, and dials again within its next step.
                 Output::Close { link } => {
                     self.owner.on_disconnected(link);
@@ -294,7 +294,7 @@
         for (_, id, call) in ready {
             busy = true;
             let answer = side.answer(&call, now);
-            side.runner.answer(id, answer, now);
+            side.runner.on_reply(id, answer, now);
         }
         busy
     }
@@ -346,6 +346,6 @@
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
