--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -1,4 +1,4 @@
-//! Agents as members: connections, leases, and what is taken for gone with them.
+//! Membership of agents: connections, leases, and runs lost with them.
 
 use quincewheel_wire::{LinkId, Order};
 
@@ -8,13 +8,15 @@
 use crate::owner::Owner;
 
 impl Owner {
-    /// An agent exists. Those known at a takeover must be heard, or their
-    /// leases lapse, before work of the former owner starts again.
-    pub fn agent(&mut self, name: &str, now: u64) {
+    /// Adds an agent that has a row in the table.
+    ///
+    /// Agents added within a second after the takeover may hold leases of the former owner. They
+    /// must answer, or their leases expire, before work of the former owner is restarted.
+    pub fn add_agent(&mut self, name: &str, now: u64) {
         let lapse = match now.saturating_sub(self.claimed_at) {
-            // Known since the takeover: the former owner may have granted a
-            // lease up to the moment at which it was replaced.
-            0..=1000 => self.claimed_at + self.settings.lease + self.settings.margin,
+            // Known since the takeover: the former owner may have granted a lease until it
+            // was replaced.
+            0..=1000 => self.claimed_at + self.settings.lease + self.settings.lease_margin,
             _ => 0,
         };
         let former = lapse > 0;
@@ -26,19 +28,20 @@
             ..Agent::default()
         };
         if !self.agents.contains_key(name) {
-            let agent = self.dismissal.recall(name, agent);
+            let agent = self.dismissal.readmit(name, agent);
             self.agents.insert(name.to_owned(), agent);
         }
     }
 
-    /// A connection to an agent was opened.
-    pub fn linked(&mut self, agent: &str, link: LinkId, now: u64) {
-        if self.dismissal.holds(agent) {
-            // It was dialled before its row was known to be gone, or has not announced
-            // itself yet. As long as an owner speaks to it, it never would.
+    /// Handles a new connection to an agent: claims it under this owner's epoch and replaces any
+    /// earlier connection.
+    pub fn on_connected(&mut self, agent: &str, link: LinkId, now: u64) {
+        if self.dismissal.contains(agent) {
+            // It was dialled before the removal of its row was known, or it has not announced
+            // itself again yet, which an agent with a connected owner never does.
             return self.outputs.push(Output::Close { link });
         }
-        self.agent(agent, now);
+        self.add_agent(agent, now);
         let epoch = self.epoch;
         if let Some(known) = self.agents.get_mut(agent) {
             known.last_notice_at = now;
@@ -49,12 +52,12 @@
             }
             self.links.insert(link, agent.to_owned());
             self.send(link, Order::Claim { epoch });
-            self.tell_evacuation(link);
+            self.send_evacuation(link);
         }
     }
 
-    /// A connection is gone.
-    pub fn unlinked(&mut self, link: LinkId) {
+    /// Handles the loss of a connection.
+    pub fn on_disconnected(&mut self, link: LinkId) {
         if let Some(name) = self.links.remove(&link)
             && let Some(agent) = self.agents.get_mut(&name)
         {
@@ -64,59 +67,67 @@
         }
     }
 
-    /// Grants a lease from the moment at which the agent asked for it.
+    /// Grants a lease that starts when the agent requested it, at `stamp` by the agent's clock.
     ///
-    /// An owner that the table has not confirmed for a while may have been
-    /// replaced without knowing. It goes on only while it speaks to most
-    /// agents, as a new owner cannot then reach them, and waits for them.
+    /// An owner that the table has not confirmed recently may have been replaced without
+    /// knowing. It then grants leases only while it is connected to a majority of agents: a new
+    /// owner cannot reach those and waits for them.
     ///
-    /// Where the worker has owed an answer for long, the lease counts from that answer,
-    /// at the agent as here: no renewal is known to have arrived since. Counted from the
-    /// agent's word, which lives beside a dead worker for as long as it has for shutting
-    /// down, what ran there was held for a lease longer: 19 s instead of 10.
-    pub(crate) fn grant(&mut self, name: &str, link: LinkId, stamp: u64, silent: u64, now: u64) {
-        let bound = self.settings.fresh;
-        let heard = |agent: &&Agent| agent.link.is_some() && now <= agent.last_notice_at + bound;
-        let most = self.agents.values().filter(heard).count() * 2 > self.agents.len();
+    /// If the worker has owed an answer for `silent` milliseconds and that is overdue, the lease
+    /// counts from its last answer, here and at the agent, since no renewal is known to have
+    /// arrived after it. An agent may outlive its worker by its whole shutdown time; counting from
+    /// the agent's request would hold the runs of a dead worker for one lease longer, 19 s instead
+    /// of 10 s.
+    pub(crate) fn grant_lease(
+        &mut self,
+        name: &str,
+        link: LinkId,
+        stamp: u64,
+        silent: u64,
+        now: u64,
+    ) {
+        let bound = self.settings.quorum_age;
+        let reachable =
+            |agent: &&Agent| agent.link.is_some() && now <= agent.last_notice_at + bound;
+        let quorum = self.agents.values().filter(reachable).count() * 2 > self.agents.len();
         let unconfirmed = now.saturating_sub(self.confirmed_at);
-        if unconfirmed > self.settings.autonomy
-            || (unconfirmed > self.settings.unconfirmed && !most)
+        if unconfirmed > self.settings.grants_stop_after
+            || (unconfirmed > self.settings.quorum_after && !quorum)
         {
             return;
         }
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let age = if silent >= self.settings.overdue { silent } else { 0 };
-        let lapse = (now + self.settings.lease + self.settings.margin).saturating_sub(age);
+        let age = if silent >= self.settings.answer_overdue { silent } else { 0 };
+        let lapse = (now + self.settings.lease + self.settings.lease_margin).saturating_sub(age);
         self.replan |= !agent.has_lease(&self.settings, now);
         agent.leases_expire_at = agent.leases_expire_at.max(lapse);
         self.send(link, Order::Grant { stamp: stamp.saturating_sub(age) });
     }
 
-    /// Takes note of how long a worker has owed an answer. One that answers again
-    /// takes work again, though nothing else has changed.
-    pub(crate) fn hear(&mut self, name: &str, silent: u64) {
+    /// Records for how long a worker has owed an answer, in milliseconds. A worker that answers
+    /// again becomes schedulable, so planning is triggered.
+    pub(crate) fn update_silence(&mut self, name: &str, silent: u64) {
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let mute = self.settings.mute;
-        self.replan |= agent.silent_ms >= mute && silent < mute;
+        let bound = self.settings.unresponsive_after;
+        self.replan |= agent.silent_ms >= bound && silent < bound;
         agent.silent_ms = silent;
     }
 
-    /// Closes connections on which nothing comes any more. A connection may
-    /// stay open without carrying anything while a new one would; only the
-    /// missing pings show it.
-    pub(crate) fn close_silent(&mut self, now: u64) {
-        let bound = self.settings.silence;
+    /// Closes connections without traffic for `connection_timeout`. A connection may stay open
+    /// without carrying data while a new one would; only the missing pings reveal it.
+    pub(crate) fn close_unresponsive(&mut self, now: u64) {
+        let bound = self.settings.connection_timeout;
         let silent = self.agents.values().filter(|agent| now > agent.last_notice_at + bound);
         let links: Vec<LinkId> = silent.filter_map(|agent| agent.link).collect();
         for link in links {
-            self.unlinked(link);
+            self.on_disconnected(link);
             self.outputs.push(Output::Close { link });
         }
     }
 
-    /// Takes runs for gone whose leases have lapsed without a word.
-    pub(crate) fn lapse(&mut self, now: u64) {
-        let bound = self.settings.lease + self.settings.margin;
+    /// Drops runs at workers whose leases have expired without a sign of life.
+    pub(crate) fn expire_leases(&mut self, now: u64) {
+        let bound = self.settings.lease + self.settings.lease_margin;
         let mut lost = Vec::new();
         for (name, agent) in &self.agents {
             let unlinked = agent.link.is_none() && now >= agent.leases_expire_at;
@@ -125,10 +136,10 @@
                 lost.push(name.clone());
             }
         }
-        self.lapse_dismissed(now);
+        self.expire_dismissed(now);
         for name in lost {
-            self.blame_crash(&name);
-            // What began since is not covered by the silence.
+            self.attribute_crash(&name);
+            // Runs that started later are not covered by this silence.
             let old = |placed: &Placement| placed.agent == name && now >= placed.started_at + bound;
             for (id, key) in self.runs_where(old) {
                 self.log("run lapsed", &id, format!("{key:?} at {name}"));
@@ -137,16 +148,16 @@
         }
     }
 
-    /// Takes runs for gone whose agents are no members any more.
-    fn lapse_dismissed(&mut self, now: u64) {
-        for (id, key) in self.runs_where(|placed| self.dismissal.lapsed(&placed.agent, now)) {
-            self.log("run lapsed", &id, format!("{key:?}: its agent is no member"));
+    /// Drops runs at dismissed agents whose leases have expired.
+    fn expire_dismissed(&mut self, now: u64) {
+        for (id, key) in self.runs_where(|placed| self.dismissal.has_lapsed(&placed.agent, now)) {
+            self.log("run lapsed", &id, format!("{key:?}: its agent was dismissed"));
             self.remove_run(&id, key);
         }
     }
 
-    /// True if there is a connection to the agent.
-    pub fn is_linked(&self, agent: &str) -> bool {
+    /// True if the agent has an open connection.
+    pub fn is_connected(&self, agent: &str) -> bool {
         self.agents.get(agent).is_some_and(|agent| agent.link.is_some())
     }
 
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -12,7 +12,7 @@
 use crate::guide::Guide;
 use crate::owner::{Owner, task};
 use crate::snapshot::{Barred, Snapshot};
-use crate::suspects::{Fresh, one_by_one};
+use crate::suspects::{RecentStart, isolate_suspects};
 
 impl Owner {
     /// Decides what starts now.
@@ -33,7 +33,7 @@
             self.serve(candidate, &mut snapshot, now, wall);
         }
         // What waits for a suspect to outlive its start is decided by time alone.
-        if snapshot.recent_starts.values().any(|fresh| *fresh == Fresh::Suspect) {
+        if snapshot.recent_starts.values().any(|fresh| *fresh == RecentStart::Suspect) {
             self.schedule_replan(wall + APART);
         }
         self.note_held_back(now, wall);
@@ -70,7 +70,7 @@
                     if tasks.is_empty() {
                         continue;
                     }
-                    for group in one_by_one(id, entry, (occurrence, number), tasks, now) {
+                    for group in isolate_suspects(id, entry, (occurrence, number), tasks, now) {
                         let need = step.need.accelerators * group.0.len() as u64;
                         // One that has begun and gave way comes after those that have not: it
                         // would take the room back that was made for them.
@@ -129,15 +129,15 @@
     /// that holds.
     pub(crate) fn predecessor_grants(&self) -> (u64, u64) {
         let last = match self.majority_since {
-            None => self.claimed_at + self.settings.autonomy,
+            None => self.claimed_at + self.settings.grants_stop_after,
             Some(_) if self.predecessor_ended => self.claimed_at,
             // It grants to all until the table has not confirmed it for a while, and then
             // for as long as it takes to miss the agents that follow this owner now.
             Some(since) => {
-                (since + self.settings.fresh).max(self.claimed_at + self.settings.unconfirmed)
+                (since + self.settings.quorum_age).max(self.claimed_at + self.settings.quorum_after)
             }
         };
-        (last, self.settings.lease + self.settings.margin)
+        (last, self.settings.lease + self.settings.lease_margin)
     }
 
     /// Agents whose workers may still run what a former owner started.
@@ -175,12 +175,12 @@
         let pool = self.pool_of(entry);
         let barred = Barred {
             uncleared: self.uncleared(candidate, snapshot, now),
-            avoided: self.avoided(candidate, snapshot, now),
-            apart: self.kept_apart(candidate, snapshot),
+            avoided: self.avoided_places(candidate, snapshot, now),
+            apart: self.excluded_places(candidate, snapshot),
         };
         let places = barred.places();
         let spared = match candidate.suspect {
-            true => self.try_suspect(candidate, (&step, &pool), (snapshot, &places), (now, wall)),
+            true => self.place_suspect(candidate, (&step, &pool), (snapshot, &places), (now, wall)),
             false => {
                 self.place_elsewhere(candidate, (&step, &pool), (snapshot, &places), (now, wall))
             }
@@ -192,7 +192,11 @@
             self.schedule_replan(wall + APART);
         }
         if !barred.uncleared.is_empty() {
-            self.ask(candidate, roomiest(&barred.uncleared, snapshot, &pool, &step.label), now);
+            self.request_clearance(
+                candidate,
+                roomiest(&barred.uncleared, snapshot, &pool, &step.label),
+                now,
+            );
         }
         let bars = snapshot.bars(&spared, &barred);
         self.record_wait(candidate, snapshot, &bars, now);
@@ -321,8 +325,8 @@
             spot.free.take(&need);
             snapshot.actual_free[place].take(&need);
             let name = spot.name.clone();
-            let fresh = if candidate.suspect { Fresh::Suspect } else { Fresh::Any };
-            fresh.note(&mut snapshot.recent_starts, place);
+            let fresh = if candidate.suspect { RecentStart::Suspect } else { RecentStart::Any };
+            fresh.record(&mut snapshot.recent_starts, place);
             let Some(worker) = self.agents.get(&name).and_then(|agent| agent.worker.as_ref())
             else {
                 continue;
--- a/crates/dispatch/tests/checkpoints.rs
+++ b/crates/dispatch/tests/checkpoints.rs
@@ -23,7 +23,7 @@
         harness.advance(ms);
         report_checkpoint(&mut harness, saved);
         let batch = harness.record();
-        records.push(serde_json::to_string(&batch.saved).unwrap());
+        records.push(serde_json::to_string(&batch.checkpoints).unwrap());
     }
     harness.take_orders();
     (harness, records)
@@ -53,7 +53,7 @@
     let batch = before.record();
     let mut harness = Harness::new(2, 1);
     harness.owner.add_job("a", job(1, vec![saving]), 50, None);
-    for (id, saved) in &batch.saved {
+    for (id, saved) in &batch.checkpoints {
         harness.owner.restore_checkpoints(id, saved);
     }
     harness.connect(0);
--- a/crates/dispatch/tests/clearance.rs
+++ b/crates/dispatch/tests/clearance.rs
@@ -18,7 +18,7 @@
     let question = harness.advice_requests.remove(0);
     let ticket = |worker: &&str| ((*worker).to_owned(), format!("ticket-{worker}"));
     let tickets: Vec<(String, String)> = cleared_workers.iter().map(ticket).collect();
-    harness.owner.advised(&question, Some((&tickets, 5000)), harness.now, harness.now);
+    harness.owner.on_clearance(&question, Some((&tickets, 5000)), harness.now, harness.now);
     harness.tick();
 }
 
@@ -90,7 +90,7 @@
     harness.tick();
     harness.take_orders();
     let question = harness.advice_requests.remove(0);
-    harness.owner.advised(&question, None, harness.now, harness.now);
+    harness.owner.on_clearance(&question, None, harness.now, harness.now);
     harness.tick();
     let at_once = harness.take_orders();
     harness.advance(400);
--- a/crates/dispatch/tests/crashing_pool/mod.rs
+++ b/crates/dispatch/tests/crashing_pool/mod.rs
@@ -41,7 +41,7 @@
 
 /// Settings for a platform that lists machines.
 static SETTINGS: LazyLock<Settings> =
-    LazyLock::new(|| Settings { listed: true, ..Settings::default() });
+    LazyLock::new(|| Settings { lists_machines: true, ..Settings::default() });
 
 /// Time from a crash to the restart of the worker.
 const RESTART_DELAY_MS: u64 = 3000;
@@ -101,7 +101,7 @@
         self.harness.owner = Owner::new(*SETTINGS, epoch, CLAIM_VERSION * epoch, now);
         self.harness.owner.predecessor_ended();
         for number in 0..self.incarnations.len() as u64 {
-            self.harness.owner.agent(&format!("w{number}"), now);
+            self.harness.owner.add_agent(&format!("w{number}"), now);
         }
         for (name, job) in jobs {
             let progress = self.recorded.get(name).cloned();
@@ -129,7 +129,7 @@
             for (_, number) in restarts {
                 self.incarnations[number as usize] += 1;
                 // An agent that was dismissed registers before it is connected.
-                self.harness.owner.agent(&format!("w{number}"), now);
+                self.harness.owner.add_agent(&format!("w{number}"), now);
                 self.harness.connect(number);
                 self.report(number);
             }
@@ -140,8 +140,8 @@
             self.harness.owner.confirm_ownership(now);
             self.harness.owner.tick(now, now);
             self.execute_orders();
-            if let Some(batch) = self.harness.owner.record() {
-                self.harness.owner.recorded(&batch, self.table_writable);
+            if let Some(batch) = self.harness.owner.next_batch() {
+                self.harness.owner.on_recorded(&batch, self.table_writable);
                 if self.table_writable {
                     self.recorded.extend(batch.jobs);
                 }
@@ -172,7 +172,7 @@
                         started.push((link, task, run));
                     }
                 }
-                Output::List => self.send_machine_list(),
+                Output::ListMachines => self.send_machine_list(),
                 Output::Log { event: "crash suspected", detail, .. } => {
                     self.suspected_crashes.push(detail)
                 }
@@ -220,7 +220,7 @@
             ..Machine::default()
         };
         let machines = (0..self.incarnations.len() as u64).map(machine).collect();
-        self.harness.owner.machines(machines, true, 1, self.harness.now);
+        self.harness.owner.on_machines(machines, true, 1, self.harness.now);
     }
 
     /// Returns the number of starts of a job's tasks, and whether its end is recorded.
--- a/crates/dispatch/tests/dismissal_in_progress.rs
+++ b/crates/dispatch/tests/dismissal_in_progress.rs
@@ -27,15 +27,15 @@
 fn nothing_starts_at_a_member_whose_row_is_being_dropped() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     advance(&mut harness, 15_000, 0);
-    let batch = harness.owner.record().unwrap_or_default();
+    let batch = harness.owner.next_batch().unwrap_or_default();
     // The worker answers again before the table does.
     harness.deliver(1, Notice::Ping { stamp: harness.now, silent: 0 });
     harness.owner.add_job("a", job(1, vec![step(9, 1)]), 150, None);
     harness.tick();
     let started = harness.take_orders().lines().filter(|line| line.starts_with("w1")).count();
-    harness.owner.recorded(&batch, true);
+    harness.owner.on_recorded(&batch, true);
     harness.tick();
-    assert_snapshot!(format!("gone {:?}, {started} began there", batch.gone), @r#"gone ["w1"], 0 began there"#);
+    assert_snapshot!(format!("gone {:?}, {started} began there", batch.departed), @r#"gone ["w1"], 0 began there"#);
 }
 
 // The same, but the worker lists a run that goes on there. The time of the lapse was forgotten with
@@ -47,11 +47,11 @@
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     advance(&mut harness, 15_000, 0);
-    let batch = harness.owner.record().unwrap_or_default();
+    let batch = harness.owner.next_batch().unwrap_or_default();
     // The worker answers again before the table does, and the run that it lists is adopted.
     harness.owner.add_job("b", job(1, vec![step(1, 8)]), 151, None);
     harness.report_status(1, &[run(task("b", 0, 0), 1)], &[]);
-    harness.owner.recorded(&batch, true);
+    harness.owner.on_recorded(&batch, true);
     harness.take_orders();
     let begin = harness.now;
     harness.report_status(0, &[], &[harness::end(1, task("a", 0, 0), 1, How::Done)]);
@@ -63,7 +63,7 @@
         let starts = orders.lines().filter(|line| line.contains("start"));
         again.extend(starts.map(|line| format!("{ms} ms: {line}")));
     }
-    assert_snapshot!(format!("gone {:?}\n{}", batch.gone, again.join("\n")), @r#"
+    assert_snapshot!(format!("gone {:?}\n{}", batch.departed, again.join("\n")), @r#"
     gone ["w1"]
     6500 ms: w0 start b.0.0.0 run 2
     "#);
@@ -80,7 +80,7 @@
     let silent = advance(&mut harness, 15_000, 0);
     harness.record();
     let dropped = harness.take_orders();
-    harness.owner.agent("w1", harness.now);
+    harness.owner.add_agent("w1", harness.now);
     harness.connect(1);
     // What an agent sends on a claim, and its first ping a second later.
     harness.report_status(1, &[], &[]);
--- a/crates/dispatch/tests/dismissal_late_answer.rs
+++ b/crates/dispatch/tests/dismissal_late_answer.rs
@@ -22,12 +22,12 @@
     let no_worker = Notice::Status { stamp: 0, worker: None, fenced: false, running, ended };
     harness.deliver(1, Notice::Left { worker: "i1".into() });
     harness.deliver(1, no_worker);
-    let batch = harness.owner.record().unwrap_or_default();
+    let batch = harness.owner.next_batch().unwrap_or_default();
     // The feed delivers the drop, and then the agent's new row.
-    harness.owner.unlisted("w1");
+    harness.owner.on_row_removed("w1");
     harness.take_orders();
-    harness.owner.agent("w1", harness.now);
-    harness.owner.linked("w1", 2, harness.now);
+    harness.owner.add_agent("w1", harness.now);
+    harness.owner.on_connected("w1", 2, harness.now);
     let status = |running: &[_], stamp| Notice::Status {
         stamp,
         worker: Some(Worker { id: "i1b".into(), ..worker(1) }),
@@ -40,7 +40,7 @@
     harness.advance(100);
     harness.deliver(2, status(&[run(task("a", 0, 1), 1)], harness.now));
     let started = harness.take_orders().contains("w2 start a.0.0.1");
-    harness.owner.recorded(&batch, true);
+    harness.owner.on_recorded(&batch, true);
     harness.advance(100);
     let orders = harness.take_orders();
     harness.owner.on_notice(2, Notice::Ping { stamp: harness.now, silent: 0 }, harness.now);
@@ -49,7 +49,7 @@
         .take_outputs()
         .iter()
         .any(|output| matches!(output, Output::Send { link: 2, order: Order::Grant { .. } }));
-    let dropped = batch.gone.join(" ");
+    let dropped = batch.departed.join(" ");
     assert_snapshot!(
         format!("dropped {dropped}, began there {started}\n-- answer\n{orders}, granted {granted}"),
         @r"
--- a/crates/dispatch/tests/dismissed_reconnect.rs
+++ b/crates/dispatch/tests/dismissed_reconnect.rs
@@ -16,7 +16,7 @@
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.tick();
     harness.deliver(0, Notice::Left { worker: "i0".into() });
-    let dropped = harness.record().gone;
+    let dropped = harness.record().departed;
     harness.take_orders();
     // The owner dials again within 100 ms, and the worker's next incarnation reports.
     harness.connect(0);
@@ -25,7 +25,7 @@
     harness.advance(1000);
     let before = harness.take_orders();
     // The agent registers, and its row is read.
-    harness.owner.agent("w0", harness.now);
+    harness.owner.add_agent("w0", harness.now);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     assert_snapshot!(format!("{dropped:?}\n{before}\n-- announced\n{}", harness.take_orders()), @r#"
@@ -44,8 +44,8 @@
     harness.tick();
     harness.deliver(0, Notice::Left { worker: "i0".into() });
     harness.record();
-    harness.owner.agent("w0", harness.now);
-    harness.owner.unlisted("w0");
+    harness.owner.add_agent("w0", harness.now);
+    harness.owner.on_row_removed("w0");
     harness.take_orders();
     harness.connect(0);
     harness.report_status(0, &[], &[]);
--- a/crates/dispatch/tests/election.rs
+++ b/crates/dispatch/tests/election.rs
@@ -14,21 +14,21 @@
 
 #[test]
 fn owner_whose_row_stops_changing_is_replaced_while_the_table_answers() {
-    let mut election = Election::open("a", 1, 2500);
-    election.observe(70, 1000);
+    let mut election = Election::new("a", 1, 2500);
+    election.observe_row(70, 1000);
     let row = owner("b", 1);
     for read_at in (1500..4200).step_by(500) {
-        election.observe(70, read_at);
+        election.observe_row(70, read_at);
     }
     let due = [(2000, 2000), (4100, 4100), (1500, 9000)]
-        .map(|(read_at, now)| election.due(row.as_ref(), read_at, now, false));
+        .map(|(read_at, now)| election.should_claim(row.as_ref(), read_at, now, false));
     assert_snapshot!(format!("{due:?}"), @"[false, true, false]");
 }
 
 #[test]
 fn restarted_entry_replaces_its_previous_incarnation_at_once() {
-    let election = Election::open("a", 2, 2500);
-    let due = |row: Option<(Ownership, u64)>| election.due(row.as_ref(), 10, 10, false);
+    let election = Election::new("a", 2, 2500);
+    let due = |row: Option<(Ownership, u64)>| election.should_claim(row.as_ref(), 10, 10, false);
     let results = [due(owner("a", 1)), due(owner("a", 2)), due(owner("", 7)), due(None)];
     assert_snapshot!(format!("{results:?}"), @"[true, false, true, true]");
 }
@@ -37,14 +37,14 @@
 // over while the others drain or are down, and draining entries never claimed.
 #[test]
 fn draining_entry_claims_a_vacant_ownership_after_the_others() {
-    let mut election = Election::open("a", 1, 2500);
-    election.observe(70, 1000);
+    let mut election = Election::new("a", 1, 2500);
+    election.observe_row(70, 1000);
     let (vacant, held) = (owner("", 7), owner("b", 7));
     let due = [
-        election.due(vacant.as_ref(), 1000, 1200, true),
-        election.due(vacant.as_ref(), 1000, 1300, true),
-        election.due(held.as_ref(), 5000, 5000, true),
-        election.due(None, 5000, 5000, true),
+        election.should_claim(vacant.as_ref(), 1000, 1200, true),
+        election.should_claim(vacant.as_ref(), 1000, 1300, true),
+        election.should_claim(held.as_ref(), 5000, 5000, true),
+        election.should_claim(None, 5000, 5000, true),
     ];
     assert_snapshot!(format!("{due:?}"), @"[false, true, false, false]");
 }
@@ -53,17 +53,17 @@
 // it.
 #[test]
 fn owner_whose_connection_broke_is_replaced_after_a_short_timeout() {
-    let mut election = Election::open("a", 1, 2500);
+    let mut election = Election::new("a", 1, 2500);
     let row = owner("b", 1);
-    election.observe(70, 1000);
-    election.lost(1100);
-    let mut due = vec![election.due(row.as_ref(), 1100, 1700, false)];
-    due.push(election.due(row.as_ref(), 1100, 2300, false));
-    election.found();
-    due.push(election.due(row.as_ref(), 1100, 2300, false));
-    election.lost(2400);
-    election.observe(71, 2500);
-    due.push(election.due(row.as_ref(), 2500, 3600, false));
+    election.observe_row(70, 1000);
+    election.on_owner_disconnected(1100);
+    let mut due = vec![election.should_claim(row.as_ref(), 1100, 1700, false)];
+    due.push(election.should_claim(row.as_ref(), 1100, 2300, false));
+    election.on_owner_connected();
+    due.push(election.should_claim(row.as_ref(), 1100, 2300, false));
+    election.on_owner_disconnected(2400);
+    election.observe_row(71, 2500);
+    due.push(election.should_claim(row.as_ref(), 2500, 3600, false));
     assert_snapshot!(format!("{due:?}"), @"[false, true, false, false]");
 }
 
@@ -73,15 +73,15 @@
 // the owner's silence.
 #[test]
 fn table_outage_does_not_count_as_silence_of_the_owner() {
-    let mut election = Election::open("a", 1, 1600);
+    let mut election = Election::new("a", 1, 1600);
     let row = owner("b", 1);
-    election.observe(70, 1000);
-    election.observe(70, 9000);
-    let mut due = vec![election.due(row.as_ref(), 9000, 9000, false)];
+    election.observe_row(70, 1000);
+    election.observe_row(70, 9000);
+    let mut due = vec![election.should_claim(row.as_ref(), 9000, 9000, false)];
     for read_at in (9400..12_000).step_by(400) {
-        election.observe(70, read_at);
+        election.observe_row(70, read_at);
     }
-    due.push(election.due(row.as_ref(), 11_800, 11_800, false));
+    due.push(election.should_claim(row.as_ref(), 11_800, 11_800, false));
     assert_snapshot!(format!("{due:?}"), @"[false, true]");
 }
 
@@ -93,11 +93,11 @@
         let size = Size { processor: *processor, link: 20 };
         let node = Node { address: "10.0.0.1:7000".into(), entry: true, size };
         let value = serde_json::to_string(&node).ok();
-        mirror.apply(&Change { key: rows::node(name), version: 1, value });
+        mirror.apply(&Change { key: rows::node_key(name), version: 1, value });
     }
     for (owner, version) in owners {
         let value = serde_json::to_string(owner).ok();
-        mirror.apply(&Change { key: rows::OWNER.to_owned(), version: *version, value });
+        mirror.apply(&Change { key: rows::OWNER_KEY.to_owned(), version: *version, value });
     }
     mirror
 }
@@ -109,13 +109,13 @@
     let version = row.map_or(0, |(_, version)| *version);
     let mut found = Vec::new();
     for (name, _) in machines {
-        let mut election = Election::open(name, 1, 1700);
-        election.observe(version, 1000);
+        let mut election = Election::new(name, 1, 1700);
+        election.observe_row(version, 1000);
         if lost {
-            election.lost(1000);
+            election.on_owner_disconnected(1000);
         }
-        election.stand(mirror.place(name));
-        let due = |now: &u64| election.due(row, 1000, *now, false);
+        election.set_rank(mirror.candidate_rank(name));
+        let due = |now: &u64| election.should_claim(row, 1000, *now, false);
         found.extend((1000..4000).find(due).map(|now| ((*name).to_owned(), now - 1000)));
     }
     found.sort_by_key(|(_, after)| *after);
@@ -152,11 +152,11 @@
 // it, so a small one may be the largest that it knows.
 #[test]
 fn entries_delay_the_first_claim_until_they_know_each_other() {
-    let mut election = Election::open("a-small", 1, 1700);
-    election.unowned(1000);
-    election.unowned(1200);
-    election.stand(1);
-    let due = [1000, 1500, 1559, 1560].map(|now| election.due(None, now, now, false));
+    let mut election = Election::new("a-small", 1, 1700);
+    election.on_unowned(1000);
+    election.on_unowned(1200);
+    election.set_rank(1);
+    let due = [1000, 1500, 1559, 1560].map(|now| election.should_claim(None, now, now, false));
     assert_snapshot!(format!("{due:?}"), @"[false, false, false, true]");
 }
 
@@ -164,15 +164,15 @@
 // may be cut off as well.
 #[test]
 fn entry_asked_by_the_previous_owner_claims_at_once() {
-    let mut election = Election::open("z-small", 1, 1700);
+    let mut election = Election::new("z-small", 1, 1700);
     let row = owner("", 7);
-    election.stand(9);
-    election.observe(70, 1000);
-    let mut due = vec![election.due(row.as_ref(), 1000, 1001, false)];
-    election.call(70);
-    due.push(election.due(row.as_ref(), 1000, 1001, false));
-    election.call(69);
-    due.push(election.due(row.as_ref(), 1000, 1001, false));
+    election.set_rank(9);
+    election.observe_row(70, 1000);
+    let mut due = vec![election.should_claim(row.as_ref(), 1000, 1001, false)];
+    election.on_handover(70);
+    due.push(election.should_claim(row.as_ref(), 1000, 1001, false));
+    election.on_handover(69);
+    due.push(election.should_claim(row.as_ref(), 1000, 1001, false));
     assert_snapshot!(format!("{due:?}"), @"[false, true, false]");
 }
 
@@ -182,13 +182,13 @@
 fn owner_without_heartbeats_and_row_changes_is_replaced_after_a_short_timeout() {
     let row = owner("b", 1);
     let due = |last_alive: u64, row_changed_at: u64| {
-        let mut election = Election::open("a", 1, 1700);
-        election.found();
-        election.observe(69, 1000);
-        election.alive(1000);
-        election.observe(70, row_changed_at);
-        election.alive(last_alive);
-        let due = |now: u64| election.due(row.as_ref(), now, now, false);
+        let mut election = Election::new("a", 1, 1700);
+        election.on_owner_connected();
+        election.observe_row(69, 1000);
+        election.on_owner_heartbeat(1000);
+        election.observe_row(70, row_changed_at);
+        election.on_owner_heartbeat(last_alive);
+        let due = |now: u64| election.should_claim(row.as_ref(), now, now, false);
         (1000..4000).step_by(50).find(|now| due(*now))
     };
     let results = [
@@ -211,21 +211,21 @@
     let mut earliest = u64::MAX;
     for lost_at in (0..4000).step_by(100) {
         for alive_at in (0..4000).step_by(100) {
-            let mut election = Election::open("a", 1, 1700);
+            let mut election = Election::new("a", 1, 1700);
             let mut events = [(0, 0), (observed_at, 1), (lost_at, 2), (alive_at, 3)];
             events.sort_unstable();
             let mut events = events.into_iter().peekable();
             for now in (0..6000).step_by(50) {
                 while let Some((_, event)) = events.next_if(|(at, _)| *at <= now) {
                     match event {
-                        0 => election.found(),
-                        2 => election.lost(now),
-                        3 => election.alive(now),
+                        0 => election.on_owner_connected(),
+                        2 => election.on_owner_disconnected(now),
+                        3 => election.on_owner_heartbeat(now),
                         _ => {}
                     }
                 }
-                election.observe(if now < observed_at { 69 } else { 70 }, now);
-                if now >= observed_at && election.due(row.as_ref(), now, now, false) {
+                election.observe_row(if now < observed_at { 69 } else { 70 }, now);
+                if now >= observed_at && election.should_claim(row.as_ref(), now, now, false) {
                     earliest = earliest.min(now - observed_at);
                     break;
                 }
@@ -240,11 +240,11 @@
 #[test]
 fn entry_cut_off_from_the_table_does_not_replace_a_silent_owner() {
     let row = owner("b", 1);
-    let mut election = Election::open("a", 1, 1700);
-    election.found();
-    election.observe(70, 1000);
-    election.alive(1000);
+    let mut election = Election::new("a", 1, 1700);
+    election.on_owner_connected();
+    election.observe_row(70, 1000);
+    election.on_owner_heartbeat(1000);
     let due = [(1000, 5000), (1699, 5000), (1700, 5000)]
-        .map(|(read_at, now)| election.due(row.as_ref(), read_at, now, false));
+        .map(|(read_at, now)| election.should_claim(row.as_ref(), read_at, now, false));
     assert_snapshot!(format!("{due:?}"), @"[false, false, true]");
 }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -46,9 +46,10 @@
     let mut harness = Harness::new(2, 2);
     harness.logged_events = EVENTS.to_vec();
     harness.owner.add_job("old", job(0, vec![step(1, 8)]), 50, None);
-    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
     harness.advance(300);
-    let before_reports = format!("{}\n{:?}", harness.take_logs(), harness.owner.evacuated());
+    let before_reports =
+        format!("{}\n{:?}", harness.take_logs(), harness.owner.evacuation_counts());
     for number in 0..2 {
         harness.connect(number);
         report_in_zone(&mut harness, number, &[run(task("old", 0, 0), 1)][number as usize..]);
@@ -60,7 +61,7 @@
     report_in_zone(&mut harness, 0, &[]);
     harness.deliver(0, Notice::Stopped { task: task("old", 0, 0), run: 1 });
     harness.advance_with_pings(1000, 2);
-    let empty = format!("{}\n{:?}", harness.take_logs(), harness.owner.evacuated());
+    let empty = format!("{}\n{:?}", harness.take_logs(), harness.owner.evacuation_counts());
     assert_snapshot!(format!("{before_reports}\n--\n{busy}\n--\n{empty}"), @r#"
     zone evacuated a: 0 workers take nothing new, 0 runs go on, as far as is known yet
     (1, 1)
@@ -77,7 +78,7 @@
 #[test]
 fn gangs_start_in_the_racks_of_the_remaining_zones() {
     let mut harness = two_zones(6);
-    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
     harness.tick();
     harness.take_orders();
     let gang = Step { gang: true, same_rack: true, ..step(3, 8) };
@@ -97,7 +98,7 @@
     let team = Team { name: "t".into(), guaranteed: 8 };
     let teams = [("t".to_owned(), team)].into();
     harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
-    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
     harness.owner.add_job("other", Job { team: "o".into(), ..job(1, vec![step(1, 8)]) }, 150, None);
     harness.tick();
     report_in_zone(&mut harness, 2, &[run(task("other", 0, 0), 1)]);
@@ -122,8 +123,8 @@
     let gang = Step { gang: true, ..step(3, 8) };
     harness.owner.add_job("gang", job(0, vec![gang]), 150, None);
     harness.tick();
-    harness.owner.unlinked(0);
-    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
+    harness.owner.on_disconnected(0);
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
     harness.tick();
     harness.take_orders();
     harness.connect(0);
@@ -141,9 +142,9 @@
 #[test]
 fn owner_that_has_not_read_the_evacuations_for_long_starts_nothing() {
     let mut harness = two_zones(2);
-    let settings = Settings { evacuation: Some(5000), ..Settings::default() };
+    let settings = Settings { evacuation_deadline: Some(5000), ..Settings::default() };
     harness.owner.update_settings(settings);
-    harness.owner.evacuate(&evacuation_of(&[]), harness.now);
+    harness.owner.set_evacuation(&evacuation_of(&[]), harness.now);
     harness.advance_with_pings(3600, 2);
     harness.owner.add_job("before", job(0, vec![step(1, 1)]), 150, None);
     harness.tick();
@@ -152,10 +153,10 @@
     harness.owner.add_job("after", job(0, vec![step(1, 1)]), 160, None);
     harness.advance_with_pings(2000, 2);
     let not_read = harness.take_orders();
-    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
     harness.tick();
     let evacuated = harness.take_orders();
-    harness.owner.evacuate(&evacuation_of(&[]), harness.now);
+    harness.owner.set_evacuation(&evacuation_of(&[]), harness.now);
     harness.tick();
     let orders =
         format!("{before}\n--\n{not_read}\n--\n{evacuated}\n--\n{}", harness.take_orders());
@@ -196,9 +197,9 @@
 #[test]
 fn agent_that_missed_the_end_of_an_evacuation_is_notified_on_reconnect() {
     let mut harness = two_zones(2);
-    harness.owner.evacuate(&evacuation_of(&["a"]), harness.now);
-    harness.owner.unlinked(0);
-    harness.owner.evacuate(&evacuation_of(&[]), harness.now);
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
+    harness.owner.on_disconnected(0);
+    harness.owner.set_evacuation(&evacuation_of(&[]), harness.now);
     harness.collect_outputs();
     harness.take_orders();
     harness.connect(0);
@@ -211,7 +212,7 @@
 #[test]
 fn owner_without_evacuations_sends_agents_none() {
     let mut owner = Owner::new(Settings::default(), 1, 1, 0);
-    owner.evacuate(&evacuation_of(&[]), 5);
-    owner.linked("w0", 0, 10);
+    owner.set_evacuation(&evacuation_of(&[]), 5);
+    owner.on_connected("w0", 0, 10);
     assert_eq!(owner.take_outputs().len(), 1);
 }
--- a/crates/dispatch/tests/harness/mod.rs
+++ b/crates/dispatch/tests/harness/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use quincewheel_dispatch::{Batch, Output, Owner, Question, Settings};
+use quincewheel_dispatch::{Batch, ClearanceRequest, Output, Owner, Settings};
 use quincewheel_job::{End, How, Job, Need, Queue, Run, Step, Task, Worker};
 use quincewheel_wire::{LinkId, Notice, Order};
 
@@ -15,7 +15,7 @@
     /// Orders and requests of the owner, formatted, since the last `take_orders`.
     pub orders: Vec<String>,
     /// Clearance requests to the advice service that the test has not answered.
-    pub advice_requests: Vec<Question>,
+    pub advice_requests: Vec<ClearanceRequest>,
     /// Log events of which lines are collected in `logs`.
     pub logged_events: Vec<&'static str>,
     pub logs: Vec<String>,
@@ -30,7 +30,7 @@
     pub fn new(epoch: u64, agents: u64) -> Harness {
         let mut owner = Owner::new(Settings::default(), epoch, CLAIM_VERSION, 10_000);
         for number in 0..agents {
-            owner.agent(&format!("w{number}"), 10_000);
+            owner.add_agent(&format!("w{number}"), 10_000);
         }
         Harness {
             owner,
@@ -54,7 +54,7 @@
 
     /// Opens a connection to an agent; its link id is the agent's number.
     pub fn connect(&mut self, number: u64) {
-        self.owner.linked(&format!("w{number}"), number, self.now);
+        self.owner.on_connected(&format!("w{number}"), number, self.now);
     }
 
     /// Sends a status of an agent whose worker acknowledged the owner's epoch.
@@ -93,8 +93,8 @@
 
     /// Writes what the owner wants recorded, successfully, and returns it.
     pub fn record(&mut self) -> Batch {
-        let batch = self.owner.record().unwrap_or_default();
-        self.owner.recorded(&batch, true);
+        let batch = self.owner.next_batch().unwrap_or_default();
+        self.owner.on_recorded(&batch, true);
         self.collect_outputs();
         batch
     }
@@ -105,17 +105,17 @@
             match output {
                 Output::Send { order: Order::Grant { .. } | Order::Claim { .. }, .. } => {}
                 Output::Send { link, order } => self.orders.push(format_order(link, &order)),
-                Output::Ask { question } => {
-                    let workers = question.workers.iter().map(ToString::to_string);
+                Output::RequestClearance { request } => {
+                    let workers = request.workers.iter().map(ToString::to_string);
                     let workers: Vec<String> = workers.collect();
                     self.orders.push(format!("ask {}", workers.join(" ")));
-                    self.advice_requests.push(question);
+                    self.advice_requests.push(request);
                 }
-                Output::List => self.orders.push("list".to_owned()),
-                Output::Take { wave, machine } => {
+                Output::ListMachines => self.orders.push("list".to_owned()),
+                Output::TakeDown { wave, machine } => {
                     self.orders.push(format!("take {machine} for {wave}"));
                 }
-                Output::Wave { number, done } => {
+                Output::WaveStatus { number, done } => {
                     self.orders.push(format!("wave {number} done {done}"));
                 }
                 Output::Close { link } => self.orders.push(format!("close {link}")),
--- a/crates/dispatch/tests/links.rs
+++ b/crates/dispatch/tests/links.rs
@@ -23,7 +23,7 @@
 #[test]
 fn second_connection_replaces_the_first() {
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
-    harness.owner.linked("w0", 9, harness.now);
+    harness.owner.on_connected("w0", 9, harness.now);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @r"close 0");
 }
@@ -35,11 +35,11 @@
     let mut harness = Harness::new(1, 1).with_idle_workers(1);
     harness.owner.add_job("a", job(1, vec![step(1, 1)]), 150, None);
     harness.tick();
-    harness.owner.unlinked(0);
+    harness.owner.on_disconnected(0);
     harness.connect(0);
     harness.report_status(0, &[], &[]);
     let again = harness.take_orders();
-    harness.owner.unlinked(0);
+    harness.owner.on_disconnected(0);
     harness.connect(0);
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     assert_snapshot!(format!("{again}\n-- it runs\n{}", harness.take_orders()), @r"
@@ -91,7 +91,7 @@
         harness.deliver(1, Notice::Ping { stamp: harness.now, silent: 0 });
         harness.deliver(0, Notice::Ping { stamp: harness.now, silent });
     }
-    harness.owner.unlinked(0);
+    harness.owner.on_disconnected(0);
     let mut again = String::new();
     while again.is_empty() && harness.now < begin + 20_000 {
         harness.advance(100);
--- a/crates/dispatch/tests/machine_list.rs
+++ b/crates/dispatch/tests/machine_list.rs
@@ -11,7 +11,7 @@
 /// Creates an owner on a platform that lists machines, with a job that runs at the first worker.
 fn owner_with_a_run() -> Harness {
     let mut harness = Harness::new(1, 2);
-    harness.owner.update_settings(Settings { listed: true, ..Settings::default() });
+    harness.owner.update_settings(Settings { lists_machines: true, ..Settings::default() });
     let mut harness = harness.with_idle_workers(2);
     harness.tick();
     harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
@@ -24,7 +24,7 @@
 /// Creates a new owner that is connected to two of three agents, and a job stored before its claim.
 fn new_owner() -> Harness {
     let mut harness = Harness::new(2, 3);
-    harness.owner.update_settings(Settings { listed: true, ..Settings::default() });
+    harness.owner.update_settings(Settings { lists_machines: true, ..Settings::default() });
     harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     for number in 0..2 {
         harness.connect(number);
@@ -53,7 +53,7 @@
 
 /// Delivers a complete list of one page, and returns the owner's orders.
 fn deliver_list(harness: &mut Harness, workers: &[&str]) -> String {
-    harness.owner.machines(machines(workers), true, 1, harness.now);
+    harness.owner.on_machines(machines(workers), true, 1, harness.now);
     harness.tick();
     harness.take_orders()
 }
@@ -80,7 +80,7 @@
 #[test]
 fn runs_of_a_worker_still_listed_wait_for_the_end_of_its_lease() {
     let mut harness = owner_with_a_run();
-    harness.owner.unlinked(0);
+    harness.owner.on_disconnected(0);
     let begin = harness.now;
     let mut orders = Vec::new();
     while harness.now < begin + 7000 {
@@ -89,7 +89,7 @@
         let new_orders = harness.take_orders();
         let new_orders = new_orders.lines().filter(|line| *line != "nothing");
         orders.extend(new_orders.map(|line| format!("{} ms: {line}", harness.now - begin)));
-        harness.owner.machines(machines(&["i0", "i1"]), true, 1, harness.now);
+        harness.owner.on_machines(machines(&["i0", "i1"]), true, 1, harness.now);
     }
     assert_snapshot!(orders.join("\n"), @r"
     100 ms: list
@@ -111,16 +111,16 @@
     report_connection_refused(&mut harness);
     harness.advance(100);
     harness.take_orders();
-    harness.owner.machines(machines(&["", "i1"]), true, 1, before);
-    harness.owner.machines(machines(&["", "i1"]), false, 1, harness.now);
-    harness.owner.machines(Vec::new(), true, 1, harness.now);
+    harness.owner.on_machines(machines(&["", "i1"]), true, 1, before);
+    harness.owner.on_machines(machines(&["", "i1"]), false, 1, harness.now);
+    harness.owner.on_machines(Vec::new(), true, 1, harness.now);
     harness.tick();
     let rejected = harness.take_orders();
     // A list of two pages counts only if a second read agrees with the first.
-    harness.owner.machines(machines(&["", "i1"]), true, 2, harness.now);
+    harness.owner.on_machines(machines(&["", "i1"]), true, 2, harness.now);
     harness.tick();
     let first_read = harness.take_orders();
-    harness.owner.machines(machines(&["", "i1"]), true, 2, harness.now);
+    harness.owner.on_machines(machines(&["", "i1"]), true, 2, harness.now);
     harness.tick();
     assert_snapshot!(format!("{rejected}\n{first_read}\n{}", harness.take_orders()), @r"
     nothing
@@ -163,7 +163,7 @@
         let new_orders: Vec<&str> = new_orders.lines().filter(|line| *line != "nothing").collect();
         orders.extend(new_orders.iter().map(|line| format!("{} ms: {line}", harness.now - begin)));
         if new_orders.contains(&"list") {
-            harness.owner.machines(machines(&["i0", "i1", ""]), true, 1, harness.now);
+            harness.owner.on_machines(machines(&["i0", "i1", ""]), true, 1, harness.now);
         }
     }
     assert_snapshot!(orders.join("\n"), @r"
@@ -182,7 +182,7 @@
         for number in 0..2 {
             harness.deliver(number, Notice::Ping { stamp: harness.now, silent: 0 });
         }
-        harness.owner.machines(machines(&["i0", "i1", "i2"]), true, 1, harness.now);
+        harness.owner.on_machines(machines(&["i0", "i1", "i2"]), true, 1, harness.now);
         orders += &harness.take_orders().replace("list", "").replace("nothing", "");
     }
     let settled = |owner: &Owner| owner.is_settled();
@@ -204,9 +204,9 @@
     let worker = Some(quincewheel_job::Worker { id: "j0".into(), ..harness::worker(0) });
     harness.deliver(0, Notice::Status { stamp, worker, fenced: false, running, ended });
     harness.take_orders();
-    harness.owner.machines(machines(&["", "i1"]), true, 1, requested_at);
+    harness.owner.on_machines(machines(&["", "i1"]), true, 1, requested_at);
     harness.tick();
-    assert_snapshot!(format!("{:?}", harness.record().gone), @"[]");
+    assert_snapshot!(format!("{:?}", harness.record().departed), @"[]");
 }
 
 // Tasks ran twice for some 70 ms after a change of owner. A worker is removed; the owner learns
@@ -217,7 +217,7 @@
 #[test]
 fn later_of_two_runs_of_a_task_is_adopted() {
     let mut harness = Harness::new(2, 3);
-    harness.owner.update_settings(Settings { listed: true, ..Settings::default() });
+    harness.owner.update_settings(Settings { lists_machines: true, ..Settings::default() });
     harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     for number in 0..3 {
         harness.connect(number);
--- a/crates/dispatch/tests/maintenance.rs
+++ b/crates/dispatch/tests/maintenance.rs
@@ -4,8 +4,8 @@
 
 use harness::{Harness, job, run, step, task};
 use insta::assert_snapshot;
-use quincewheel_dispatch::Taken;
-use quincewheel_dispatch::rows::Seen;
+use quincewheel_dispatch::TakeDownResult;
+use quincewheel_dispatch::rows::WaveRecord;
 use quincewheel_job::{Condition, Machine, Run, Step, Wave};
 use quincewheel_wire::Notice;
 
@@ -24,12 +24,12 @@
         worker: format!("i{number}"),
     };
     let machines = conditions.iter().enumerate().map(machine).collect();
-    harness.owner.machines(machines, true, 1, harness.now);
+    harness.owner.on_machines(machines, true, 1, harness.now);
 }
 
 /// Returns the record of a wave that a previous owner began.
-fn wave_record(done: bool) -> Seen {
-    Seen { at: 0, done }
+fn wave_record(done: bool) -> WaveRecord {
+    WaveRecord { at: 0, done }
 }
 
 /// Advances the clock by `ms` while the agents send pings, and drops requests for the machine list.
@@ -47,7 +47,7 @@
 fn wave_in_progress(duration: u64) -> Harness {
     let mut harness = Harness::new(1, 3).with_idle_workers(3);
     advance(&mut harness, 3000, 3);
-    harness.owner.wave(&wave(3, 1, duration), None, harness.now);
+    harness.owner.add_wave(&wave(3, 1, duration), None, harness.now);
     send_machine_list(&mut harness, &[Condition::Up; 3]);
     harness
 }
@@ -61,7 +61,7 @@
         [("m0", [Maintained, Up, Up]), ("m1", [Up, Maintained, Up]), ("m2", [Up, Up, Maintained])]
     {
         harness.tick();
-        harness.owner.taken(1, machine, Taken::Begun, harness.now);
+        harness.owner.on_take_down(1, machine, TakeDownResult::Begun, harness.now);
         advance(&mut harness, 500, 3);
         send_machine_list(&mut harness, &conditions);
         advance(&mut harness, 500, 3);
@@ -90,7 +90,7 @@
     let mut harness = wave_in_progress(60_000);
     harness.tick();
     let first = harness.take_orders();
-    harness.owner.taken(1, "m0", Taken::Unclear, harness.now);
+    harness.owner.on_take_down(1, "m0", TakeDownResult::Unclear, harness.now);
     send_machine_list(&mut harness, &[Condition::Up; 3]);
     advance(&mut harness, 1000, 3);
     let waiting = harness.take_orders();
@@ -114,7 +114,7 @@
     harness.tick();
     harness.report_status(0, &[run(task("a", 0, 0), 1)], &[]);
     harness.take_orders();
-    harness.owner.wave(&wave(1, 1, 10_000), None, harness.now);
+    harness.owner.add_wave(&wave(1, 1, 10_000), None, harness.now);
     send_machine_list(&mut harness, &[Condition::Up]);
     harness.tick();
     harness.owner.add_job("b", job(1, vec![step(1, 1)]), 151, None);
@@ -144,11 +144,11 @@
     harness.report_status(0, &[serving(0)], &[]);
     harness.report_status(1, &[serving(1)], &[]);
     harness.take_orders();
-    harness.owner.wave(&wave(2, 2, 60_000), None, harness.now);
+    harness.owner.add_wave(&wave(2, 2, 60_000), None, harness.now);
     send_machine_list(&mut harness, &[Condition::Up; 2]);
     harness.tick();
     let first = harness.take_orders();
-    harness.owner.taken(1, "m0", Taken::Begun, harness.now);
+    harness.owner.on_take_down(1, "m0", TakeDownResult::Begun, harness.now);
     harness.deliver(0, Notice::Left { worker: "i0".into() });
     advance(&mut harness, 1000, 2);
     assert_snapshot!(format!("{first}\n-- one is away\n{}", harness.take_orders()), @r"
@@ -164,7 +164,7 @@
 #[test]
 fn new_owner_sends_no_maintenance_calls_before_the_previous_owners_turn_is_over() {
     let mut harness = Harness::new(2, 1).with_idle_workers(1);
-    harness.owner.wave(&wave(1, 1, 60_000), Some(wave_record(false)), harness.now);
+    harness.owner.add_wave(&wave(1, 1, 60_000), Some(wave_record(false)), harness.now);
     send_machine_list(&mut harness, &[Condition::Up]);
     advance(&mut harness, 2500, 1);
     let early = harness.take_orders();
@@ -183,10 +183,10 @@
 fn machine_maintained_under_a_previous_owner_takes_work() {
     let mut harness = Harness::new(2, 1).with_idle_workers(1);
     advance(&mut harness, 3000, 1);
-    harness.owner.wave(&wave(1, 1, 60_000), Some(wave_record(false)), harness.now);
+    harness.owner.add_wave(&wave(1, 1, 60_000), Some(wave_record(false)), harness.now);
     send_machine_list(&mut harness, &[Condition::Up]);
     harness.tick();
-    harness.owner.taken(1, "m0", Taken::Begun, harness.now);
+    harness.owner.on_take_down(1, "m0", TakeDownResult::Begun, harness.now);
     harness.take_orders();
     harness.owner.add_job("a", job(1, vec![step(1, 8)]), 150, None);
     harness.tick();
@@ -206,16 +206,16 @@
 fn finished_wave_stays_finished_under_a_later_owner() {
     let mut harness = wave_in_progress(60_000);
     for number in 0..3 {
-        harness.owner.taken(1, &format!("m{number}"), Taken::Begun, harness.now);
+        harness.owner.on_take_down(1, &format!("m{number}"), TakeDownResult::Begun, harness.now);
     }
     advance(&mut harness, 500, 3);
     let recorded = harness.record().waves;
     let mut later = Harness::new(2, 1).with_idle_workers(1);
-    later.owner.wave(&wave(1, 1, 60_000), Some(wave_record(true)), later.now);
+    later.owner.add_wave(&wave(1, 1, 60_000), Some(wave_record(true)), later.now);
     send_machine_list(&mut later, &[Condition::Up]);
     advance(&mut later, 4000, 1);
     assert_snapshot!(format!("{recorded:?}\n{}", later.take_orders()), @r"
-    [(1, Seen { at: 13000, done: true })]
+    [(1, WaveRecord { at: 13000, done: true })]
     wave 1 done true
     ");
 }
@@ -227,18 +227,18 @@
 fn machine_with_an_unreadable_entry_is_not_considered_removed() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
     advance(&mut harness, 3000, 2);
-    harness.owner.wave(&wave(2, 2, 60_000), None, harness.now);
+    harness.owner.add_wave(&wave(2, 2, 60_000), None, harness.now);
     let first = Machine { name: "m0".into(), condition: Condition::Up, worker: "i0".into() };
-    harness.owner.machines(vec![first.clone()], false, 1, harness.now);
+    harness.owner.on_machines(vec![first.clone()], false, 1, harness.now);
     harness.tick();
-    harness.owner.taken(1, "m0", Taken::Begun, harness.now);
+    harness.owner.on_take_down(1, "m0", TakeDownResult::Begun, harness.now);
     advance(&mut harness, 500, 2);
     let unread = harness.take_orders();
     send_machine_list(&mut harness, &[Condition::Maintained, Condition::Up]);
     harness.tick();
-    harness.owner.taken(1, "m1", Taken::Begun, harness.now);
+    harness.owner.on_take_down(1, "m1", TakeDownResult::Begun, harness.now);
     // m1 was known before, so it still counts beside an entry that cannot be read.
-    harness.owner.machines(vec![first], false, 1, harness.now);
+    harness.owner.on_machines(vec![first], false, 1, harness.now);
     harness.tick();
     assert_snapshot!(format!("{unread}\n--\n{}", harness.take_orders()));
 }
--- a/crates/dispatch/tests/members.rs
+++ b/crates/dispatch/tests/members.rs
@@ -20,7 +20,7 @@
 fn dropped_members(harness: &mut Harness) -> String {
     let batch = harness.record();
     harness.take_orders();
-    format!("{:?}", batch.gone)
+    format!("{:?}", batch.departed)
 }
 
 // After each change of owner older jobs stood still for 6 s. A machine is removed for good, and
@@ -29,7 +29,7 @@
 #[test]
 fn disconnected_agent_is_dropped_once_its_leases_have_lapsed() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.unlinked(1);
+    harness.owner.on_disconnected(1);
     advance(&mut harness, 8500, &[0]);
     let before = dropped_members(&mut harness);
     advance(&mut harness, 500, &[0]);
@@ -41,7 +41,7 @@
 #[test]
 fn agent_that_reconnects_in_time_stays_a_member() {
     let mut harness = Harness::new(1, 2).with_idle_workers(2);
-    harness.owner.unlinked(1);
+    harness.owner.on_disconnected(1);
     advance(&mut harness, 5000, &[0]);
     harness.connect(1);
     harness.report_status(1, &[], &[]);
@@ -59,7 +59,7 @@
     harness.deliver(1, no_worker);
     advance(&mut harness, 9000, &[0, 1]);
     let batch = harness.record();
-    assert_snapshot!(format!("{:?}\n{}", batch.gone, harness.take_orders()), @r#"
+    assert_snapshot!(format!("{:?}\n{}", batch.departed, harness.take_orders()), @r#"
     ["w1"]
     close 1
     "#);
--- a/crates/dispatch/tests/mirror.rs
+++ b/crates/dispatch/tests/mirror.rs
@@ -4,8 +4,8 @@
 
 use harness::{job, step};
 use insta::assert_snapshot;
-use quincewheel_dispatch::rows::{self, Node, OWNER, Ownership};
-use quincewheel_dispatch::{Mirror, News};
+use quincewheel_dispatch::rows::{self, Node, OWNER_KEY, Ownership};
+use quincewheel_dispatch::{Mirror, RowEvent};
 use quincewheel_job::{Progress, State};
 use quincewheel_store::Change;
 
@@ -26,17 +26,17 @@
     let mut states = Vec::new();
     let state = |mirror: &Mirror| mirror.jobs.get("a").map(|view| view.state());
     for change in [
-        put(rows::stop("a"), 1, &()),
-        put(rows::job("a"), 2, &job(1, vec![step(1, 1)])),
-        put(rows::run("a"), 3, &progress_in(State::Succeeded)),
-        Change { key: rows::job("a"), version: 4, value: None },
+        put(rows::cancellation_key("a"), 1, &()),
+        put(rows::job_key("a"), 2, &job(1, vec![step(1, 1)])),
+        put(rows::progress_key("a"), 3, &progress_in(State::Succeeded)),
+        Change { key: rows::job_key("a"), version: 4, value: None },
     ] {
         let news = mirror.apply(&change);
         states.push(format!("{:?} {news:?}", state(&mirror)));
     }
     assert_snapshot!(states.join("\n"), @r#"
-    Some(Cancelled) Some(Cancelled("a"))
-    Some(Cancelled) Some(Job("a"))
+    Some(Cancelled) Some(JobCancelled("a"))
+    Some(Cancelled) Some(JobAccepted("a"))
     Some(Succeeded) None
     None None
     "#);
@@ -46,8 +46,8 @@
 fn older_ownership_row_does_not_replace_a_newer_one() {
     let mut mirror = Mirror::default();
     let owner = |epoch| Ownership { holder: "e".into(), epoch, ..Ownership::default() };
-    mirror.apply(&put(OWNER.into(), 9, &owner(4)));
-    let news = mirror.apply(&put(OWNER.into(), 7, &owner(3)));
+    mirror.apply(&put(OWNER_KEY.into(), 9, &owner(4)));
+    let news = mirror.apply(&put(OWNER_KEY.into(), 7, &owner(3)));
     assert_eq!((news, mirror.owner.unwrap().0.epoch), (None, 4));
 }
 
@@ -55,14 +55,14 @@
 fn malformed_row_is_reported_and_left_out() {
     let mut mirror = Mirror::default();
     let value = Some("{".to_owned());
-    let news = mirror.apply(&Change { key: rows::job("a"), version: 1, value });
-    assert!(matches!(news, Some(News::Malformed { .. })));
+    let news = mirror.apply(&Change { key: rows::job_key("a"), version: 1, value });
+    assert!(matches!(news, Some(RowEvent::Malformed { .. })));
     assert!(mirror.jobs.is_empty());
     let node = Node { address: "10.0.0.1:7000".into(), entry: true, ..Node::default() };
-    let first = mirror.apply(&put(rows::node("e1"), 2, &node));
-    let again = mirror.apply(&put(rows::node("e1"), 3, &node));
+    let first = mirror.apply(&put(rows::node_key("e1"), 2, &node));
+    let again = mirror.apply(&put(rows::node_key("e1"), 3, &node));
     // The same row counts as news again: a process that registers again wants to be dialled.
-    let news = || Some(News::Node("e1".into()));
+    let news = || Some(RowEvent::NodeAnnounced("e1".into()));
     assert_eq!((first, again), (news(), news()));
 }
 
@@ -71,18 +71,18 @@
 fn only_ended_jobs_expire() {
     let mut mirror = Mirror::default();
     for id in ["a", "b", "c"] {
-        mirror.apply(&put(rows::job(id), 1, &job(1, vec![step(1, 1)])));
+        mirror.apply(&put(rows::job_key(id), 1, &job(1, vec![step(1, 1)])));
     }
-    mirror.apply(&put(rows::run("a"), 2, &progress_in(State::Failed)));
-    mirror.apply(&put(rows::stop("c"), 3, &()));
+    mirror.apply(&put(rows::progress_key("a"), 2, &progress_in(State::Failed)));
+    mirror.apply(&put(rows::cancellation_key("c"), 3, &()));
     let expired = [
-        mirror.expired(1000, 500, 5),
-        mirror.expired(1499, 500, 5),
-        mirror.expired(1500, 500, 5),
-        mirror.expired(1500, 500, 1),
+        mirror.expired_jobs(1000, 500, 5),
+        mirror.expired_jobs(1499, 500, 5),
+        mirror.expired_jobs(1500, 500, 5),
+        mirror.expired_jobs(1500, 500, 1),
     ];
-    mirror.apply(&Change { key: rows::job("a"), version: 4, value: None });
-    assert_snapshot!(format!("{expired:?} {:?}", mirror.expired(9000, 500, 5)), @r#"[[], [], ["a", "c"], ["a"]] ["c"]"#);
+    mirror.apply(&Change { key: rows::job_key("a"), version: 4, value: None });
+    assert_snapshot!(format!("{expired:?} {:?}", mirror.expired_jobs(9000, 500, 5)), @r#"[[], [], ["a", "c"], ["a"]] ["c"]"#);
 }
 
 // A client was answered that its job had ended, and then that it was running: all rows are read
@@ -90,10 +90,10 @@
 #[test]
 fn row_received_late_does_not_undo_a_later_one() {
     let mut mirror = Mirror::default();
-    let row = put(rows::job("a"), 1, &job(1, vec![step(1, 1)]));
-    let running = put(rows::run("a"), 5, &progress_in(State::Running));
+    let row = put(rows::job_key("a"), 1, &job(1, vec![step(1, 1)]));
+    let running = put(rows::progress_key("a"), 5, &progress_in(State::Running));
     mirror.apply(&row);
-    mirror.apply(&put(rows::run("a"), 9, &progress_in(State::Succeeded)));
+    mirror.apply(&put(rows::progress_key("a"), 9, &progress_in(State::Succeeded)));
     mirror.apply(&running);
     let state = |mirror: &Mirror| mirror.jobs.get("a").map(|view| view.state());
     let after_late_row = state(&mirror);
@@ -107,8 +107,8 @@
     let value = Some(r#"{"address":"10.0.0.1:1"}"#.to_owned());
     let written = mirror.apply(&Change { key: "node/w0".into(), version: 1, value });
     let dropped = mirror.apply(&Change { key: "node/w0".into(), version: 2, value: None });
-    assert_eq!(written, Some(News::Node("w0".into())));
-    assert_eq!(dropped, Some(News::Unlisted("w0".into())));
+    assert_eq!(written, Some(RowEvent::NodeAnnounced("w0".into())));
+    assert_eq!(dropped, Some(RowEvent::NodeRemoved("w0".into())));
 }
 
 // Nobody could own the deployment, or a new owner waited a lease for an agent that was never
@@ -118,28 +118,28 @@
 fn malformed_rows_of_another_writer_are_ignored() {
     let mut mirror = Mirror::default();
     let owner = Ownership { holder: "e".into(), epoch: 4, ..Ownership::default() };
-    mirror.apply(&put(OWNER.into(), 3, &owner));
+    mirror.apply(&put(OWNER_KEY.into(), 3, &owner));
     let mut results = Vec::new();
     for (key, value) in [
-        (OWNER.to_owned(), "\u{fffd}"),
-        (rows::node("n1"), r#"{"address":"nowhere"}"#),
-        (rows::node("n2"), r#"{"entry":false}"#),
-        (rows::job("a"), "[]"),
-        (rows::stop("a"), "\u{fffd}"),
-        (rows::run("a"), "7"),
-        (rows::save("a"), "no row"),
-        (rows::wave(1), r#"{"at":"now"}"#),
+        (OWNER_KEY.to_owned(), "\u{fffd}"),
+        (rows::node_key("n1"), r#"{"address":"nowhere"}"#),
+        (rows::node_key("n2"), r#"{"entry":false}"#),
+        (rows::job_key("a"), "[]"),
+        (rows::cancellation_key("a"), "\u{fffd}"),
+        (rows::progress_key("a"), "7"),
+        (rows::checkpoints_key("a"), "no row"),
+        (rows::wave_key(1), r#"{"at":"now"}"#),
         ("times".to_owned(), "{\"queues\":1}"),
     ] {
         let change = Change { key, version: 9, value: Some(value.to_owned()) };
         let news = mirror.apply(&change);
-        let left_out = matches!(news, Some(News::Malformed { .. }));
+        let left_out = matches!(news, Some(RowEvent::Malformed { .. }));
         results.push(format!("{} left out: {left_out}", change.key));
     }
     let mut endless = job(1, vec![step(1, 1)]);
     endless.steps[0].after = vec![5];
-    let news = mirror.apply(&put(rows::job("b"), 10, &endless));
-    results.push(format!("job/b left out: {}", matches!(news, Some(News::Malformed { .. }))));
+    let news = mirror.apply(&put(rows::job_key("b"), 10, &endless));
+    results.push(format!("job/b left out: {}", matches!(news, Some(RowEvent::Malformed { .. }))));
     results.push(format!("{} jobs, {} processes", mirror.jobs.len(), mirror.nodes.len()));
     let (owner, version) = mirror.owner.unwrap();
     results.push(format!("owner {} of epoch {} at version {version}", owner.holder, owner.epoch));
@@ -153,7 +153,8 @@
 #[test]
 fn job_stored_after_all_rows_were_read_is_kept() {
     let mut mirror = Mirror::default();
-    let row = |version| put(rows::job(&format!("j{version}")), version, &job(1, vec![step(1, 1)]));
+    let row =
+        |version| put(rows::job_key(&format!("j{version}")), version, &job(1, vec![step(1, 1)]));
     mirror.apply(&row(4));
     mirror.apply(&row(9));
     mirror.reload(&[row(5)], 7);
@@ -169,12 +170,12 @@
     let mut mirror = Mirror::default();
     let node = |version: u64| {
         let node = Node { address: "10.0.0.1:7000".into(), ..Node::default() };
-        put(rows::node("agent-1"), version, &node)
+        put(rows::node_key("agent-1"), version, &node)
     };
-    let dropped = Change { key: rows::node("agent-1"), version: 10, value: None };
+    let dropped = Change { key: rows::node_key("agent-1"), version: 10, value: None };
     let changes = [node(8), dropped.clone(), node(12)];
-    let first = mirror.follow(&changes, 12).len();
-    let overtaken = mirror.follow(&[dropped], 10);
+    let first = mirror.apply_changes(&changes, 12).len();
+    let overtaken = mirror.apply_changes(&[dropped], 10);
     assert_snapshot!(
         format!("{first} {overtaken:?} {} {}", mirror.nodes.len(), mirror.version),
         @"3 [] 1 12"
--- a/crates/dispatch/tests/preemption.rs
+++ b/crates/dispatch/tests/preemption.rs
@@ -249,7 +249,7 @@
     harness.take_orders();
     harness.owner.add_job("waits", urgent_job(vec![step(1, 8)], harness.now), 200, None);
     let mut orders = String::new();
-    for _ in 0..Settings::default().reclaim / 100 {
+    for _ in 0..Settings::default().reclaim_deadline / 100 {
         harness.advance_with_pings(100, 2);
         let new_orders = harness.take_orders();
         for at in (0..2).filter(|at| new_orders.contains(&format!("w{at} stop"))) {
--- a/crates/dispatch/tests/previous_owner_leases.rs
+++ b/crates/dispatch/tests/previous_owner_leases.rs
@@ -85,7 +85,7 @@
     let written = LAST_WRITE_AT;
     let mut predecessor = Owner::new(Settings::default(), 1, 1, 9_000);
     for number in 0..3 {
-        predecessor.linked(&format!("w{number}"), number, 9_000);
+        predecessor.on_connected(&format!("w{number}"), number, 9_000);
         let running = if number == 0 { vec![run(task("old", 0, 0), 1)] } else { Vec::new() };
         predecessor.on_notice(number, status(number, 9_000, &running), 9_000);
     }
@@ -96,7 +96,7 @@
     harness.owner = Owner::new(Settings::default(), 2, harness::CLAIM_VERSION, claimed);
     harness.owner.add_job("old", job(1, vec![step(1, 1)]), 50, None);
     for number in 0..3 {
-        harness.owner.agent(&format!("w{number}"), claimed);
+        harness.owner.add_agent(&format!("w{number}"), claimed);
     }
     let (mut granted, mut started) = (0, 0);
     for now in (9_100..25_000).step_by(100) {
--- a/crates/dispatch/tests/restarts.rs
+++ b/crates/dispatch/tests/restarts.rs
@@ -116,7 +116,7 @@
     report_incarnation(&mut harness, 2, &[], &[]);
     harness.take_orders();
     let tickets = [("i0".to_owned(), "ticket".to_owned())];
-    harness.owner.advised(&question, Some((&tickets, 60_000)), harness.now, harness.now);
+    harness.owner.on_clearance(&question, Some((&tickets, 60_000)), harness.now, harness.now);
     harness.tick();
     assert_snapshot!(harness.take_orders(), @"ask i0 born 2");
 }
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -104,7 +104,7 @@
         ..Ownership::default()
     };
     let rows = [("a", true), ("a", false), ("", true), ("", false), ("b", true)];
-    let ended = rows.map(|(holder, settled)| row(holder, settled).has_ended("a"));
+    let ended = rows.map(|(holder, settled)| row(holder, settled).grants_ended("a"));
     assert_eq!(ended, [true, false, true, false, false]);
 }
 
--- a/crates/dispatch/tests/unconfirmed_jobs.rs
+++ b/crates/dispatch/tests/unconfirmed_jobs.rs
@@ -4,7 +4,7 @@
 
 use harness::{Harness, job, step};
 use insta::assert_snapshot;
-use quincewheel_dispatch::Unproven;
+use quincewheel_dispatch::UnconfirmedJobs;
 
 // A task started twice, milliseconds apart. An owner is cut off from the table; another entry
 // claims, and a job is stored after that; the entry that stored it sends it to the previous owner,
@@ -12,19 +12,19 @@
 // it.
 #[test]
 fn job_sent_directly_is_released_only_by_a_later_write_of_this_owner() {
-    let mut unproven = Unproven::default();
+    let mut unproven = UnconfirmedJobs::default();
     unproven.add("a", 7);
     unproven.add("b", 9);
     let mut released = Vec::new();
     for version in [6, 7, 8, 8, 12] {
-        released.push(format!("write {version}: {:?}", unproven.prove(version)));
+        released.push(format!("write {version}: {:?}", unproven.confirm(version)));
     }
     // The write after the claim of another does not succeed.
     unproven.add("c", 13);
     unproven.clear();
     released.push(format!(
         "after a claim: {:?}, empty {}",
-        unproven.prove(20),
+        unproven.confirm(20),
         unproven.is_empty()
     ));
     assert_snapshot!(released.join("\n"));
--- a/crates/dispatch/tests/waits.rs
+++ b/crates/dispatch/tests/waits.rs
@@ -147,7 +147,7 @@
     harness.advance_with_pings(1000, 2);
     let before_answer = harness.take_logs();
     let question = harness.advice_requests.remove(0);
-    harness.owner.advised(&question, Some((&[], 5000)), harness.now, harness.now);
+    harness.owner.on_clearance(&question, Some((&[], 5000)), harness.now, harness.now);
     harness.advance_with_pings(2000, 2);
     assert_snapshot!(format!("{before_answer}\n-- answered\n{}", harness.take_logs()), @r"
     waits a: a.0.0, 1 tasks, 1000 ms: no clearance: a question is out; may not run at 0, cleared for 0
@@ -169,7 +169,7 @@
 #[test]
 fn closed_workers_are_logged_with_the_reason() {
     let mut harness = idle_owner(3);
-    harness.owner.unlinked(0);
+    harness.owner.on_disconnected(0);
     harness.deliver(1, Notice::Ping { stamp: harness.now, silent: 3500 });
     add_job(&mut harness, "a", 150, job(1, vec![step(3, 8)]));
     for _ in 0..10 {
--- a/crates/entry/src/site/calls.rs
+++ b/crates/entry/src/site/calls.rs
@@ -3,7 +3,7 @@
 use std::pin::pin;
 use std::time::Duration;
 
-use quincewheel_dispatch::{View, rows};
+use quincewheel_dispatch::{JobView, rows};
 use quincewheel_http::Body;
 use quincewheel_job::{Answer, Call, Job, Target};
 use quincewheel_platform::Space;
@@ -66,17 +66,17 @@
     let now = quincewheel_clock::boot();
     match answer {
         Answer::Accepted => {
-            shared.unsettled.borrow_mut().settle(id);
+            shared.unsettled.borrow_mut().resolve(id);
             Answer::Accepted
         }
-        Answer::Unavailable(_) if shared.unsettled.borrow().holds(id, now) => Answer::Unclear,
+        Answer::Unavailable(_) if shared.unsettled.borrow().contains(id, now) => Answer::Unclear,
         answer => answer,
     }
 }
 
 async fn decide(shared: &Shared, work: &Work, target: &Target) -> Answer {
     match &target.call {
-        Call::Waiting => Answer::Waiting(shared.mirror.borrow().waiting(&target.queue.name)),
+        Call::Waiting => Answer::Waiting(shared.mirror.borrow().queued_jobs(&target.queue.name)),
         Call::State { id } => tell_state(shared, target, id).await,
         Call::Cancel { id } => cancel(shared, target, id).await,
         Call::Submit { id } => match &work.body {
@@ -174,16 +174,16 @@
     let begun = quincewheel_clock::boot();
     loop {
         let now = quincewheel_clock::boot();
-        let unsettled = shared.unsettled.borrow().holds(id, now);
+        let unsettled = shared.unsettled.borrow().contains(id, now);
         let result = match unsettled {
             true => attempt(shared, commit).await,
             false => write(shared, commit).await,
         };
         if matches!(result, Err(Error::Unclear { .. })) {
-            shared.unsettled.borrow_mut().note(id, now);
+            shared.unsettled.borrow_mut().record(id, now);
         }
         let open = matches!(result, Err(Error::Unclear { .. } | Error::Refused { .. }))
-            && shared.unsettled.borrow().holds(id, now);
+            && shared.unsettled.borrow().contains(id, now);
         if !open || quincewheel_clock::boot() + TIMEOUT.as_millis() as u64 > begun + SETTLE {
             return result;
         }
@@ -279,7 +279,7 @@
 
 /// The job as this entry knows it, or else as the table has it: that a job
 /// does not exist may be said only after the table was asked.
-async fn find_job(shared: &Site, id: &str) -> Result<Option<View>, Error> {
+async fn find_job(shared: &Site, id: &str) -> Result<Option<JobView>, Error> {
     let known = shared.mirror.borrow().jobs.get(id).cloned();
     match known {
         Some(view) if view.job.is_some() => Ok(Some(view)),
@@ -288,15 +288,15 @@
 }
 
 /// Reads a job's rows.
-pub(crate) async fn look(shared: &Site, id: &str) -> Result<Option<View>, Error> {
+pub(crate) async fn look(shared: &Site, id: &str) -> Result<Option<JobView>, Error> {
     if shared.is_table_lost() {
         let (step, peer) = ("read", shared.settings.table.clone());
         let detail = "not sent: the table does not answer".to_owned();
         return Err(Error::Refused { step, peer, detail });
     }
     let mut found = quincewheel_dispatch::Mirror::default();
-    for key in [rows::job(id), rows::run(id), rows::stop(id)] {
-        let part = rows::part(&key);
+    for key in [rows::job_key(id), rows::progress_key(id), rows::cancellation_key(id)] {
+        let part = rows::part_of(&key);
         let read = Read { prefix: key, after: String::new(), limit: 1 };
         let (page, _) = shared.table.read(Space::Own, part, &read, TIMEOUT).await?;
         for row in page.rows {
@@ -307,7 +307,7 @@
     Ok(found.jobs.remove(id))
 }
 
-fn owned(view: &View, target: &Target) -> bool {
+fn owned(view: &JobView, target: &Target) -> bool {
     let team = view.job.as_ref().map(|(job, _)| &job.team);
     team.is_some_and(|team| *team == target.team)
 }
--- a/crates/entry/src/site/stores.rs
+++ b/crates/entry/src/site/stores.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use quincewheel_dispatch::{View, rows};
+use quincewheel_dispatch::{JobView, rows};
 use quincewheel_job::{Id, Job};
 use quincewheel_peer::Command;
 use quincewheel_store::{Commit, Error, Expect, Put};
@@ -31,14 +31,14 @@
 
 /// The write that stores a job, once.
 pub(crate) fn job_row(id: &str, job: &Job) -> Commit {
-    let row = put(rows::job(id), job);
+    let row = put(rows::job_key(id), job);
     let expect = vec![Expect { key: row.key.clone(), version: 0 }];
     Commit { expect, put: vec![row], delete: Vec::new() }
 }
 
 /// The write that cancels a job.
 pub(crate) fn cancel_row(id: &str) -> Commit {
-    let row = Put { key: rows::stop(id), value: "{}".to_owned() };
+    let row = Put { key: rows::cancellation_key(id), value: "{}".to_owned() };
     Commit { put: vec![row], ..Commit::default() }
 }
 
@@ -59,7 +59,7 @@
         Ok(Ok(Peer::Stored { verdict, .. })) if verdict != Verdict::Unclear => verdict,
         _ => {
             // It may store the row yet: nothing may be called not accepted.
-            shared.unsettled.borrow_mut().note(id, quincewheel_clock::boot());
+            shared.unsettled.borrow_mut().record(id, quincewheel_clock::boot());
             Verdict::Unclear
         }
     }
@@ -100,8 +100,8 @@
 /// Whose the row is that was there before.
 async fn stored_before(shared: &Site, id: &str, job: &Job) -> Verdict {
     match look(shared, id).await {
-        Ok(Some(View { job: Some((known, _)), .. })) if known.team == job.team => Verdict::Known,
-        Ok(Some(View { job: Some(_), .. })) => Verdict::Foreign,
+        Ok(Some(JobView { job: Some((known, _)), .. })) if known.team == job.team => Verdict::Known,
+        Ok(Some(JobView { job: Some(_), .. })) => Verdict::Foreign,
         _ => Verdict::Unclear,
     }
 }
