--- a/crates/entry/src/brain.rs
+++ b/crates/entry/src/brain.rs
@@ -217,9 +217,9 @@
     }
 
     fn publish(&self) {
-        self.status.ready.store(self.node.ready(), Ordering::Relaxed);
-        self.status.owner.store(self.node.owns(), Ordering::Relaxed);
-        self.status.store_down.store(self.node.store_down(), Ordering::Relaxed);
-        self.status.pending.store(self.node.pending(), Ordering::Relaxed);
+        self.status.ready.store(self.node.is_ready(), Ordering::Relaxed);
+        self.status.owner.store(self.node.is_owner(), Ordering::Relaxed);
+        self.status.store_down.store(self.node.is_store_down(), Ordering::Relaxed);
+        self.status.pending.store(self.node.pending_calls(), Ordering::Relaxed);
     }
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -129,7 +129,7 @@
     let traffic = hub.traffic();
     let service = Service::spawn(&settings.platform, TABLE, stored, Stored)?;
     let status = Arc::new(Status::default());
-    let node = Node::open(node_settings(&settings, incarnation));
+    let node = Node::new(node_settings(&settings, incarnation));
     let events = settings.events.then(|| settings.name.clone());
     let inbox = Inbox { stored: stored_in, peers: peers_in, work: work_in };
     Brain::spawn(node, hub, service, Arc::clone(&status), events, inbox)?;
@@ -172,17 +172,17 @@
 }
 
 fn node_settings(settings: &Settings, incarnation: u64) -> shard::Settings {
-    let wall = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let clock_origin = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     shard::Settings {
         name: settings.name.clone(),
         incarnation,
         address: settings.listen.clone(),
-        operator_digest: settings.operator_digest.clone(),
-        wall,
+        operator_key_digest: settings.operator_digest.clone(),
+        clock_origin,
         seed: incarnation,
-        grace: settings.grace,
+        stop_grace: settings.grace,
         limits: settings.limits,
-        attempts: settings.attempts,
+        max_attempts: settings.attempts,
         retention: settings.retention,
         ..shard::Settings::default()
     }
--- a/crates/shard/src/config.rs
+++ b/crates/shard/src/config.rs
@@ -88,7 +88,7 @@
     }
 
     /// True if an operator drained the worker.
-    pub fn drained(&self, worker: &str) -> bool {
+    pub fn is_drained(&self, worker: &str) -> bool {
         self.drains.get(worker).is_some_and(|row| row.drained)
     }
 
--- a/crates/shard/src/context.rs
+++ b/crates/shard/src/context.rs
@@ -109,7 +109,7 @@
 
     /// Unix time in milliseconds.
     pub fn unix_ms(&self) -> u64 {
-        (self.settings.wall + self.now).as_millis() as u64
+        (self.settings.clock_origin + self.now).as_millis() as u64
     }
 }
 
--- a/crates/shard/src/follower.rs
+++ b/crates/shard/src/follower.rs
@@ -129,7 +129,7 @@
     pub fn tick(&mut self, cx: &mut Context, draining: bool) {
         let now = cx.now;
         if let Some(link) = self.link {
-            if now.saturating_sub(self.heard) >= cx.settings.silence {
+            if now.saturating_sub(self.heard) >= cx.settings.connection_timeout {
                 self.detach(cx, "owner silent");
             } else {
                 self.beat(cx, link);
@@ -149,7 +149,7 @@
 
     fn beat(&mut self, cx: &mut Context, link: LinkId) {
         if cx.now >= self.next_read {
-            self.next_read = cx.now + cx.settings.beat;
+            self.next_read = cx.now + cx.settings.heartbeat_interval;
             cx.send(link, Frame::Beat { epoch: self.epoch(), configuration: cx.config.version() });
         }
     }
@@ -160,7 +160,7 @@
             return;
         }
         let released = self.row.as_ref().is_none_or(|row| row.address.is_empty());
-        let still = cx.now.saturating_sub(self.unchanged) >= cx.settings.takeover;
+        let still = cx.now.saturating_sub(self.unchanged) >= cx.settings.takeover_timeout;
         if self.known && !draining && !self.failing && (released || still) {
             self.take(cx);
             return;
@@ -288,7 +288,7 @@
             return;
         }
         let now = cx.now;
-        let bound = cx.settings.failover;
+        let bound = cx.settings.failover_timeout;
         // Time counts from when the call came or the owner was last heard.
         let heard = self.heard;
         let late: Vec<u64> = cx
--- a/crates/shard/src/job.rs
+++ b/crates/shard/src/job.rs
@@ -95,7 +95,7 @@
         if let Some(outcome) = self.refusals.find(&key, cx.now).filter(|_| !job.again) {
             return Some(outcome);
         }
-        let settled = cx.now.saturating_sub(self.active_since) >= cx.settings.lost;
+        let settled = cx.now.saturating_sub(self.active_since) >= cx.settings.worker_lost_after;
         let (reason, base) = if job.recorded() && self.store_down(cx) {
             ("the table service does not answer, so this job cannot be recorded", STORE_RETRY)
         } else if self.pool.full(&job.team) {
@@ -209,7 +209,7 @@
     }
 
     fn cancel(&mut self, cx: &mut Context, id: JobId, waiter: Waiter) {
-        let until = cx.now + cx.settings.failover;
+        let until = cx.now + cx.settings.failover_timeout;
         let record = self.jobs.get_mut(&id).expect("callers look it up");
         match &mut record.phase {
             Phase::Final { .. } => self.wait(cx, id, waiter, until),
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -123,7 +123,7 @@
         let lapsed = |at: Duration| now.saturating_sub(at) >= ANSWER;
         match &self.flight {
             None => {
-                let due = now.saturating_sub(self.renewed) >= cx.settings.renew;
+                let due = now.saturating_sub(self.renewed) >= cx.settings.renewal_interval;
                 if !self.queue.is_empty() || due || force {
                     self.fly(cx);
                 }
@@ -144,7 +144,7 @@
 
     /// Makes a transaction of what has gathered.
     fn fly(&mut self, cx: &mut Context) {
-        let take = self.queue.len().min(cx.settings.batch);
+        let take = self.queue.len().min(cx.settings.max_batch_rows);
         let writes: Vec<Write> = self.queue.drain(..take).collect();
         let mut row = self.row.clone();
         row.sequence += 1;
--- a/crates/shard/src/node.rs
+++ b/crates/shard/src/node.rs
@@ -30,7 +30,7 @@
 
 impl Node {
     /// A node that will look for its shard's owner.
-    pub fn open(settings: Settings) -> Node {
+    pub fn new(settings: Settings) -> Node {
         let cx = Context::new(settings);
         let role = Role::Follower(Box::new(Follower::new(Duration::ZERO)));
         Node { cx, role, draining: false, seen: Duration::ZERO }
@@ -92,12 +92,12 @@
     }
 
     /// True if this node owns its shard and has read its rows.
-    pub fn owns(&self) -> bool {
+    pub fn is_owner(&self) -> bool {
         matches!(&self.role, Role::Owner(owner) if owner.active())
     }
 
     /// True if calls can be taken up: the owner is known and reachable.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         match &self.role {
             Role::Owner(owner) => owner.active() && !self.draining,
             Role::Follower(follower) => follower.attached() && !self.draining,
@@ -105,17 +105,17 @@
     }
 
     /// Calls that are not answered yet.
-    pub fn pending(&self) -> usize {
+    pub fn pending_calls(&self) -> usize {
         self.cx.calls.len()
     }
 
     /// True if the call is not answered yet.
-    pub fn waits(&self, call: u64) -> bool {
+    pub fn is_pending(&self, call: u64) -> bool {
         self.cx.calls.contains_key(&call)
     }
 
     /// True if the table does not answer this node, as far as it knows.
-    pub fn store_down(&self) -> bool {
+    pub fn is_store_down(&self) -> bool {
         match &self.role {
             Role::Owner(owner) => owner.store_down(&self.cx),
             Role::Follower(follower) => follower.store_failing(),
@@ -134,7 +134,7 @@
         let gap = now.saturating_sub(self.seen);
         self.cx.now = now;
         self.seen = now;
-        if gap >= self.cx.settings.silence
+        if gap >= self.cx.settings.connection_timeout
             && let Role::Follower(follower) = &mut self.role
         {
             follower.detach(&mut self.cx, "this process was frozen");
@@ -174,7 +174,7 @@
     /// digest was right.
     fn authorize(&self, key_digest: &str, ask: &Ask) -> Result<(), Refusal> {
         let same = |digest: &str| bool::from(digest.as_bytes().ct_eq(key_digest.as_bytes()));
-        let operator = same(&self.cx.settings.operator_digest);
+        let operator = same(&self.cx.settings.operator_key_digest);
         let Some(team) = ask.team() else {
             let message = "this call needs the operators' key as bearer token".to_owned();
             return if operator { Ok(()) } else { Err(Refusal::Denied { message }) };
@@ -286,7 +286,7 @@
     /// Answers calls whose caller stops waiting and that nobody answered.
     fn expire(&mut self) {
         let now = self.cx.now;
-        let slack = self.cx.settings.silence;
+        let slack = self.cx.settings.connection_timeout;
         let late: Vec<u64> = self
             .cx
             .calls
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -112,7 +112,7 @@
     }
 
     pub fn store_down(&self, cx: &Context) -> bool {
-        self.ledger.down(cx.settings.store_patience, cx.now)
+        self.ledger.down(cx.settings.store_down_after, cx.now)
     }
 
     pub fn linked(&mut self, cx: &mut Context, link: LinkId, hello: &Hello) {
@@ -223,7 +223,7 @@
         let now = cx.now;
         self.load_tick(cx);
         if now >= self.next_beat {
-            self.next_beat = now + cx.settings.beat;
+            self.next_beat = now + cx.settings.heartbeat_interval;
             self.beat(cx);
         }
         self.check_agents(cx);
@@ -295,7 +295,7 @@
     }
 
     fn beat(&mut self, cx: &mut Context) {
-        let silence = cx.settings.silence;
+        let silence = cx.settings.connection_timeout;
         let frame = Frame::Beat { epoch: self.row.epoch, configuration: cx.config.version() };
         let mut silent = Vec::new();
         for (link, peer) in &self.peers {
@@ -340,8 +340,8 @@
     /// Lets the pool know whether the worker takes work.
     pub(crate) fn refresh_condition(&mut self, cx: &Context, worker: &str) {
         let Some(agent) = self.agents.get(worker) else { return };
-        let drained = cx.config.drained(worker);
-        let condition = agent.condition(drained, cx.now, cx.settings.silence);
+        let drained = cx.config.is_drained(worker);
+        let condition = agent.condition(drained, cx.now, cx.settings.connection_timeout);
         let before = self.pool.workers().find(|w| w.worker == worker).map(|w| w.condition);
         if before != Some(condition) {
             self.pool.set_condition(worker, condition);
@@ -356,11 +356,11 @@
         for worker in names {
             let agent = self.agents.get_mut(&worker).expect("listed above");
             let quiet = now.saturating_sub(agent.heard);
-            if quiet >= cx.settings.lost {
+            if quiet >= cx.settings.worker_lost_after {
                 lost.push(worker);
                 continue;
             }
-            if quiet > cx.settings.silence
+            if quiet > cx.settings.connection_timeout
                 && let Some(link) = agent.link.take()
             {
                 // A cut in one direction shows only as silence; closing makes
--- a/crates/shard/src/reports.rs
+++ b/crates/shard/src/reports.rs
@@ -109,7 +109,7 @@
             .filter(|worker| matches!(&current.parts[*worker], Part::Ended(Report::Failed { .. })));
         let failed: Vec<String> = failed.cloned().collect();
         let idempotent = record.job.idempotent;
-        let more = idempotent && record.attempts < cx.settings.attempts;
+        let more = idempotent && record.attempts < cx.settings.max_attempts;
         if step != Step::Started {
             // Go was not said and, all members having buried it, never will be.
             self.conclude_unstarted(cx, id, why);
--- a/crates/shard/src/settings.rs
+++ b/crates/shard/src/settings.rs
@@ -14,34 +14,34 @@
     /// Where other processes reach this one.
     pub address: String,
     /// SHA-256 of the operators' key, in hexadecimal.
-    pub operator_digest: String,
+    pub operator_key_digest: String,
     /// Unix time at the runtime clock's zero.
-    pub wall: Duration,
+    pub clock_origin: Duration,
     /// Seed of the jitter in retry-after.
     pub seed: u64,
     /// Time between beats.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// A peer not heard for this long is suspect and its link is closed.
-    pub silence: Duration,
+    pub connection_timeout: Duration,
     /// An ownership row that stays the same for this long may be taken over,
     /// if its holder is also silent.
-    pub takeover: Duration,
+    pub takeover_timeout: Duration,
     /// The owner renews its row at least this often.
-    pub renew: Duration,
+    pub renewal_interval: Duration,
     /// A worker not heard for this long has lost what it held.
-    pub lost: Duration,
+    pub worker_lost_after: Duration,
     /// A call that finds no owner for this long is refused.
-    pub failover: Duration,
+    pub failover_timeout: Duration,
     /// Members that have not granted by then are given up.
-    pub prepare: Duration,
+    pub prepare_timeout: Duration,
     /// A commit unanswered for this long means that the table is down.
-    pub store_patience: Duration,
+    pub store_down_after: Duration,
     /// Time that a task gets to checkpoint before it is stopped.
-    pub grace: Duration,
+    pub stop_grace: Duration,
     /// Starts of one idempotent job before its failure is final.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Most rows in one transaction.
-    pub batch: usize,
+    pub max_batch_rows: usize,
     /// How long a recorded outcome is kept.
     pub retention: Duration,
     /// Bounds of the pool.
@@ -54,20 +54,20 @@
             name: String::new(),
             incarnation: 0,
             address: String::new(),
-            operator_digest: String::new(),
-            wall: Duration::ZERO,
+            operator_key_digest: String::new(),
+            clock_origin: Duration::ZERO,
             seed: 0,
-            beat: Duration::from_millis(400),
-            silence: Duration::from_millis(1200),
-            takeover: Duration::from_millis(1200),
-            renew: Duration::from_millis(400),
-            lost: Duration::from_secs(10),
-            failover: Duration::from_secs(8),
-            prepare: Duration::from_secs(2),
-            store_patience: Duration::from_secs(1),
-            grace: Duration::from_secs(5),
-            attempts: 3,
-            batch: 256,
+            heartbeat_interval: Duration::from_millis(400),
+            connection_timeout: Duration::from_millis(1200),
+            takeover_timeout: Duration::from_millis(1200),
+            renewal_interval: Duration::from_millis(400),
+            worker_lost_after: Duration::from_secs(10),
+            failover_timeout: Duration::from_secs(8),
+            prepare_timeout: Duration::from_secs(2),
+            store_down_after: Duration::from_secs(1),
+            stop_grace: Duration::from_secs(5),
+            max_attempts: 3,
+            max_batch_rows: 256,
             retention: Duration::from_secs(86_400),
             limits: Limits::default(),
         }
--- a/crates/shard/src/starts.rs
+++ b/crates/shard/src/starts.rs
@@ -191,7 +191,7 @@
     pub(crate) fn stop(&mut self, cx: &mut Context, id: JobId, why: Why) {
         let now = cx.now;
         let grace = match why {
-            Why::Reclaimed | Why::Cancelled => cx.settings.grace,
+            Why::Reclaimed | Why::Cancelled => cx.settings.stop_grace,
             _ => Duration::ZERO,
         };
         let Some(record) = self.jobs.get_mut(&id) else { return };
@@ -236,7 +236,7 @@
         let mut repeat = Vec::new();
         for (id, record) in &self.jobs {
             let Some(current) = record.attempt() else { continue };
-            let waiting = now.saturating_sub(current.since) >= cx.settings.prepare;
+            let waiting = now.saturating_sub(current.since) >= cx.settings.prepare_timeout;
             if current.step == Step::Preparing && current.stopping.is_none() && waiting {
                 slow.push(*id);
             }
--- a/crates/shard/src/takeover.rs
+++ b/crates/shard/src/takeover.rs
@@ -351,7 +351,7 @@
         let mut gone: Vec<(Attempt, String)> = Vec::new();
         for current in self.jobs.values().filter_map(|record| record.attempt()) {
             let since = current.since.max(self.active_since);
-            if cx.now.saturating_sub(since) < cx.settings.lost {
+            if cx.now.saturating_sub(since) < cx.settings.worker_lost_after {
                 continue;
             }
             for (worker, part) in &current.parts {
--- a/crates/shard/src/views.rs
+++ b/crates/shard/src/views.rs
@@ -144,7 +144,7 @@
                 continue;
             }
             let staged = self.staged.get_mut(&key).expect("listed above");
-            if cx.now.saturating_sub(staged.since) >= cx.settings.store_patience {
+            if cx.now.saturating_sub(staged.since) >= cx.settings.store_down_after {
                 let text = "the table service did not answer whether the change is recorded; \
                             read the version before trying again";
                 cx.unavailable(&staged.waiter, text);
--- a/tests/bed/world.rs
+++ b/tests/bed/world.rs
@@ -155,12 +155,12 @@
                     name: format!("entry-{at}"),
                     incarnation: entry.incarnation,
                     address: address(who),
-                    operator_digest: KEY.to_owned(),
+                    operator_key_digest: KEY.to_owned(),
                     seed: at as u64,
                     limits: self.limits,
                     ..shard::Settings::default()
                 };
-                entry.node = Some(Node::open(settings));
+                entry.node = Some(Node::new(settings));
             }
             Who::Agent(at) => {
                 let worker = &mut self.workers[at];
@@ -269,13 +269,13 @@
 
     /// The entry that owns the shard, as far as it knows itself.
     pub fn owner(&self) -> Option<usize> {
-        let owns = |entry: &Entry| entry.node.as_ref().is_some_and(Node::owns);
+        let owns = |entry: &Entry| entry.node.as_ref().is_some_and(Node::is_owner);
         self.entries.iter().position(owns)
     }
 
     /// An entry that does not own the shard.
     pub fn follower(&self) -> usize {
-        let owns = |entry: &Entry| entry.node.as_ref().is_none_or(Node::owns);
+        let owns = |entry: &Entry| entry.node.as_ref().is_none_or(Node::is_owner);
         self.entries.iter().position(|entry| !owns(entry)).expect("there is one")
     }
 
@@ -312,7 +312,7 @@
 
     /// True if the entry that was called still has the call open.
     pub fn waits(&self, call: u64) -> bool {
-        let open = |entry: &Entry| entry.node.as_ref().is_some_and(|node| node.waits(call));
+        let open = |entry: &Entry| entry.node.as_ref().is_some_and(|node| node.is_pending(call));
         self.answer(call).is_none() && self.entries.iter().any(open)
     }
 
--- a/tests/owner.rs
+++ b/tests/owner.rs
@@ -89,8 +89,8 @@
         world.run(ms(200)).await;
         world.drain(Who::Entry(owner));
         world.run(secs(10)).await;
-        assert_eq!(world.node(owner).pending(), 0, "round {round}: the drain can end");
-        assert!(!world.node(owner).owns(), "round {round}: ownership was handed over");
+        assert_eq!(world.node(owner).pending_calls(), 0, "round {round}: the drain can end");
+        assert!(!world.node(owner).is_owner(), "round {round}: ownership was handed over");
         world.kill(Who::Entry(owner));
         world.start(Who::Entry(owner));
         world.run(secs(2)).await;
