--- a/crates/dispatch/src/board.rs
+++ b/crates/dispatch/src/board.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quincewheel_job::{Id, Need};
+use quincewheel_job::{Id, Resources};
 use quincewheel_place::{Hold, Holder, Spot};
 use quincewheel_policy::{Guarantees, loss};
 
@@ -18,7 +18,7 @@
     /// The workers that take work.
     pub spots: Vec<Spot>,
     /// What is truly free, reservations not taken away.
-    pub actual: Vec<Need>,
+    pub actual: Vec<Resources>,
     /// The runs of each unit that stops as a whole.
     pub units: BTreeMap<u64, Vec<(Id, Key)>>,
     /// Places at which something has just started.
@@ -109,8 +109,8 @@
                 labels: worker.labels.clone(),
                 capacity: worker.capacity,
                 free: self.left_by_strays(agent, worker.capacity),
-                stopping: Need::default(),
-                ending: Need::default(),
+                stopping: Resources::default(),
+                ending: Resources::default(),
                 doubtful: agent.doubted.max(agent.warm) > now
                     || agent.silent > self.settings.mute / 2,
                 holders: Vec::new(),
@@ -125,8 +125,8 @@
                 let Some(step) = entry.step(*key) else { continue };
                 units.entry(placed.unit).or_default().push((id.clone(), *key));
                 let Some(&place) = places.get(placed.agent.as_str()) else { continue };
-                let need = step.charge();
-                spots[place].free.take(&need);
+                let need = step.resources();
+                spots[place].free.subtract(&need);
                 if let Some(started) = Fresh::of(id, entry, *key, placed, now) {
                     started.note(&mut fresh, place);
                 }
@@ -140,10 +140,10 @@
                 let yields = hold != Hold::Guaranteed || (entry.begun && !entry.gave_way);
                 let ending = !step.perpetual && entry.unit_ends(placed, &self.settings, now);
                 if ending {
-                    spots[place].ending.give(&need);
+                    spots[place].ending.add(&need);
                 }
                 if placed.phase == Phase::Stopping {
-                    spots[place].stopping.give(&need);
+                    spots[place].stopping.add(&need);
                 } else if yields && self.may_yield(id, *key, &mut taken) {
                     let loss = loss(step, now.saturating_sub(placed.began));
                     let unit = placed.unit;
@@ -158,12 +158,12 @@
     /// What runs that nobody waits for leave of a worker's capacity until their stops are
     /// through; nothing if it is not known what one of them takes. A worker that does not
     /// check for itself would be given more than it has.
-    fn left_by_strays(&self, agent: &Agent, capacity: Need) -> Need {
+    fn left_by_strays(&self, agent: &Agent, capacity: Resources) -> Resources {
         let mut left = capacity;
         for task in &agent.strays {
             let step = self.jobs.get(&task.job).and_then(|entry| entry.step(key(task)));
-            let Some(step) = step else { return Need::default() };
-            left.take(&step.charge());
+            let Some(step) = step else { return Resources::default() };
+            left.subtract(&step.resources());
         }
         left
     }
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -145,7 +145,7 @@
 
     /// The checkpoints that are worth a record: those of tasks not yet done.
     pub fn checkpoints(&self, id: &str) -> Saved {
-        let open = self.saved.iter().filter(|(key, _)| !self.progress.done(&task(id, **key)));
+        let open = self.saved.iter().filter(|(key, _)| !self.progress.is_done(&task(id, **key)));
         Saved::open(open)
     }
 
@@ -185,7 +185,11 @@
 
     /// How many workers in a row crashed just after starts of a task.
     pub fn crashes(&self, id: &str, key: Key) -> u32 {
-        if self.progress.suspected() { self.progress.crashes(&self.job, &task(id, key)) } else { 0 }
+        if self.progress.has_suspects() {
+            self.progress.crash_count(&self.job, &task(id, key))
+        } else {
+            0
+        }
     }
 
     /// True if the run of a task, or of all members of its gang, has outlived its start.
@@ -206,7 +210,7 @@
         let begun = |index: u32| {
             let key = (0, 0, index);
             let confirmed = self.runs.get(&key).is_some_and(|placed| placed.confirmed.is_some());
-            confirmed || self.progress.done(&task(id, key))
+            confirmed || self.progress.is_done(&task(id, key))
         };
         self.begun = (0..step.count).all(begun);
     }
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -47,7 +47,7 @@
 impl Evacuated {
     /// True if nothing may start in the availability zone.
     pub fn covers(&self, zone: &str) -> bool {
-        self.zones.covers(zone)
+        self.zones.contains(zone)
     }
 }
 
@@ -62,12 +62,12 @@
         let former = std::mem::replace(&mut self.evacuated.zones, zones.clone());
         self.evacuated.ever = true;
         for agent in self.agents.values_mut() {
-            agent.evacuated = agent.worker.as_ref().is_some_and(|w| zones.covers(&w.zone));
+            agent.evacuated = agent.worker.as_ref().is_some_and(|w| zones.contains(&w.zone));
         }
-        for zone in zones.beyond(&former) {
+        for zone in zones.difference(&former) {
             self.tell_begun(zone);
         }
-        for zone in former.beyond(zones) {
+        for zone in former.difference(zones) {
             self.evacuated.empty.remove(zone);
             self.log("evacuation over", zone, "its workers take work again".to_owned());
         }
--- a/crates/dispatch/src/guide.rs
+++ b/crates/dispatch/src/guide.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use quincewheel_job::{Need, Step};
+use quincewheel_job::{Resources, Step};
 use quincewheel_policy::{Goal, waves};
 
 use crate::entry::Entry;
@@ -11,7 +11,7 @@
     /// Learned run times.
     pub times: &'a Times,
     /// What the workers of each pool have in all.
-    pub pools: &'a BTreeMap<String, Need>,
+    pub pools: &'a BTreeMap<String, Resources>,
 }
 
 impl Guide<'_> {
@@ -19,12 +19,12 @@
     pub fn goal(&self, entry: &Entry, occurrence: u32) -> Goal {
         let job = &entry.job;
         let begin = job.schedule.map_or(job.accepted, |schedule| schedule.due(occurrence));
-        if job.perpetual() {
+        if job.is_perpetual() {
             return Goal::lasting(begin);
         }
-        let whole = job.chain_by(|number, step| self.expect(entry, number, step));
-        let left = job.chain_by(|number, step| {
-            let done = entry.progress.step_done(occurrence, number, step);
+        let whole = job.critical_path_by(|number, step| self.expect(entry, number, step));
+        let left = job.critical_path_by(|number, step| {
+            let done = entry.progress.is_step_done(occurrence, number, step);
             if done { 0 } else { self.expect(entry, number, step) }
         });
         Goal::open(begin, (whole, left), job.queue.stretch, job.queue.slack)
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -86,7 +86,7 @@
     /// The job's state as a client is told.
     pub fn state(&self) -> State {
         let state = self.progress.as_ref().map_or(State::Queued, |progress| progress.state);
-        if self.cancelled && !state.ended() { State::Cancelled } else { state }
+        if self.cancelled && !state.is_final() { State::Cancelled } else { state }
     }
 }
 
@@ -190,7 +190,7 @@
     pub fn expired(&mut self, now: u64, keep: u64, most: usize) -> Vec<Id> {
         let Mirror { jobs, ended, .. } = self;
         ended.retain(|id, _| jobs.contains_key(id));
-        for (id, _) in jobs.iter().filter(|(_, view)| view.state().ended()) {
+        for (id, _) in jobs.iter().filter(|(_, view)| view.state().is_final()) {
             ended.entry(id.clone()).or_insert(now);
         }
         let old = ended.iter().filter(|(_, since)| now >= **since + keep);
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -198,7 +198,7 @@
     /// begin anew.
     pub fn job(&mut self, id: &str, job: Job, version: u64, progress: Option<Progress>) {
         let known = self.jobs.contains_key(id) || self.over.contains(id) || version <= self.loaded;
-        if known || progress.as_ref().is_some_and(|p| p.state.ended()) {
+        if known || progress.as_ref().is_some_and(|p| p.state.is_final()) {
             return;
         }
         let entry = Entry {
@@ -352,7 +352,7 @@
     /// True if the owner knows that the job has ended, recorded or not.
     pub fn has_ended(&self, id: &str) -> bool {
         let over = || self.over.contains(id);
-        self.jobs.get(id).map_or_else(over, |entry| entry.progress.state.ended())
+        self.jobs.get(id).map_or_else(over, |entry| entry.progress.state.is_final())
     }
 
     /// Number of jobs that have not ended.
@@ -363,7 +363,7 @@
     /// Ends a job: whatever runs is stopped.
     pub(crate) fn end_job(&mut self, id: &str, state: State, now: u64) {
         let Some(entry) = self.jobs.get_mut(id) else { return };
-        if entry.progress.state.ended() {
+        if entry.progress.state.is_final() {
             return;
         }
         entry.progress.state = state;
@@ -411,7 +411,8 @@
         if let Some(entry) = self.jobs.get_mut(id) {
             entry.runs.remove(&key);
             self.replan = true;
-            if entry.progress.state.ended() && entry.runs.is_empty() && !self.dirty.contains(id) {
+            if entry.progress.state.is_final() && entry.runs.is_empty() && !self.dirty.contains(id)
+            {
                 self.touch(id, false);
             }
         }
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use quincewheel_job::{Id, Incarnation, Need, Step};
+use quincewheel_job::{Id, Incarnation, Resources, Step};
 use quincewheel_place::{Ask, Hold, Spot, pack};
 use quincewheel_policy::{APART, Guarantees, Rank, is_half_free, spare, unspare, weight};
 use quincewheel_wire::Order;
@@ -53,7 +53,8 @@
         for (id, entry) in jobs {
             // What a former owner may have started is known only once all
             // agents were heard.
-            if entry.progress.state.ended() || (!settled && entry.version <= self.claim_version) {
+            if entry.progress.state.is_final() || (!settled && entry.version <= self.claim_version)
+            {
                 continue;
             }
             for occurrence in 0..entry.job.occurrences() {
@@ -103,10 +104,10 @@
     }
 
     /// What the workers of each pool have in all.
-    pub(crate) fn pools(&self) -> BTreeMap<String, Need> {
-        let mut pools: BTreeMap<String, Need> = BTreeMap::new();
+    pub(crate) fn pools(&self) -> BTreeMap<String, Resources> {
+        let mut pools: BTreeMap<String, Resources> = BTreeMap::new();
         for worker in self.agents.values().filter_map(|agent| agent.worker.as_ref()) {
-            pools.entry(worker.pool.clone()).or_default().give(&worker.capacity);
+            pools.entry(worker.pool.clone()).or_default().add(&worker.capacity);
         }
         pools
     }
@@ -312,12 +313,12 @@
         board: &mut Board,
         now: u64,
     ) {
-        let need = step.charge();
+        let need = step.resources();
         let gang_unit = self.next_unit;
         for &(index, place) in pairs {
             let spot = &mut board.spots[place];
-            spot.free.take(&need);
-            board.actual[place].take(&need);
+            spot.free.subtract(&need);
+            board.actual[place].subtract(&need);
             let name = spot.name.clone();
             let fresh = if candidate.suspect { Fresh::Suspect } else { Fresh::Any };
             fresh.note(&mut board.fresh, place);
@@ -384,15 +385,15 @@
     id: &str,
 ) -> Vec<u32> {
     let progress = &entry.progress;
-    if progress.step_done(occurrence, number, step)
-        || !progress.ready(&entry.job, occurrence, step)
+    if progress.is_step_done(occurrence, number, step)
+        || !progress.is_step_ready(&entry.job, occurrence, step)
         || (step.gang && entry.placed(occurrence, number))
     {
         return Vec::new();
     }
     let open = |index: &u32| {
         let key = (occurrence, number, *index);
-        !entry.runs.contains_key(&key) && !progress.done(&task(id, key))
+        !entry.runs.contains_key(&key) && !progress.is_done(&task(id, key))
     };
     (0..step.count).filter(open).collect()
 }
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -133,7 +133,7 @@
         for (id, progress) in &batch.jobs {
             self.note_recorded(id);
             let idle = self.jobs.get(id).is_some_and(|entry| entry.runs.is_empty());
-            if progress.state.ended() && idle && !self.dirty.contains(id) {
+            if progress.state.is_final() && idle && !self.dirty.contains(id) {
                 self.close_job(id);
             }
         }
@@ -141,7 +141,7 @@
 
     fn forget(&mut self, seen: &Seen) {
         let Some(agent) = self.agents.get_mut(&seen.agent) else { return };
-        if agent.worker.as_ref().is_some_and(|worker| worker.is(&seen.worker)) {
+        if agent.worker.as_ref().is_some_and(|worker| worker.is_incarnation(&seen.worker)) {
             agent.seen = agent.seen.max(seen.number);
             if let Some(link) = agent.link {
                 let (worker, number) = (seen.worker.clone(), seen.number);
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -29,7 +29,7 @@
             return;
         };
         let from = worker.incarnation();
-        let other = agent.worker.as_ref().is_none_or(|known| !known.is(&from));
+        let other = agent.worker.as_ref().is_none_or(|known| !known.is_incarnation(&from));
         let reborn = other && agent.worker.is_some();
         if other {
             // A list that was asked for before this incarnation began cannot name it.
@@ -45,7 +45,7 @@
         if reborn {
             agent.silent = 0;
         }
-        let changed = agent.worker.as_ref().is_some_and(|known| known.fits_others(&worker));
+        let changed = agent.worker.as_ref().is_some_and(|known| known.eligibility_differs(&worker));
         agent.evacuated = self.evacuated.covers(&worker.zone);
         // A status may repeat what the worker reported once; it counts from the first.
         if agent.worker.as_ref().is_none_or(|known| known.cold != worker.cold) || other {
@@ -190,7 +190,7 @@
             // A later run of the task exists, or it is done: this one is a
             // remnant that nobody waits for.
             Some(_) => self.stop_stray(name, from, &run.task, run.number, now),
-            None if entry.progress.done(&run.task) || entry.progress.state.ended() => {
+            None if entry.progress.is_done(&run.task) || entry.progress.state.is_final() => {
                 self.stop_stray(name, from, &run.task, run.number, now);
             }
             None => {
@@ -348,11 +348,11 @@
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let before = entry.progress.state;
         let step = entry.job.steps.get(task.step as usize);
-        if before.ended() || step.is_some_and(|step| step.perpetual) {
+        if before.is_final() || step.is_some_and(|step| step.perpetual) {
             return;
         }
-        entry.progress.finish(&entry.job, task);
-        let ended = entry.progress.state.ended();
+        entry.progress.mark_done(&entry.job, task);
+        let ended = entry.progress.state.is_final();
         // A copy of a task that is done must not go on.
         let other = entry.runs.contains_key(&key(task));
         let gang = step_is_gang(entry.job.steps.get(task.step as usize));
@@ -375,10 +375,10 @@
         self.blame(name, task, now);
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let perpetual = entry.step(key(task)).is_some_and(|step| step.perpetual);
-        if entry.progress.state.ended() || perpetual {
+        if entry.progress.state.is_final() || perpetual {
             return;
         }
-        let failures = entry.progress.fail(&entry.job, task, run);
+        let failures = entry.progress.record_failure(&entry.job, task, run);
         let last = failures >= entry.job.queue.attempts;
         self.touch(&task.job, last);
         if last {
@@ -389,7 +389,7 @@
     /// Forgets an ended job once nothing of it runs.
     fn settle(&mut self, id: &str) {
         let over =
-            |entry: &crate::entry::Entry| entry.progress.state.ended() && entry.runs.is_empty();
+            |entry: &crate::entry::Entry| entry.progress.state.is_final() && entry.runs.is_empty();
         if self.jobs.get(id).is_some_and(over) && !self.dirty.contains(id) && !self.recording {
             self.close_job(id);
         }
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -51,11 +51,11 @@
         if !valid {
             return false;
         }
-        let need = step.charge();
+        let need = step.resources();
         let mut actual = board.actual.clone();
         let whole = places.iter().all(|&place| {
             let fits = need.fits(&actual[place]);
-            actual[place].take(&need);
+            actual[place].subtract(&need);
             fits
         });
         if !whole {
@@ -121,14 +121,14 @@
         if !pays(claim.loss, candidate.work, guaranteed) {
             return;
         }
-        let need = step.charge();
+        let need = step.resources();
         let firm: BTreeSet<u64> = (board.spots.iter().flat_map(|spot| &spot.holders))
             .filter(|holder| holder.hold == Hold::Guaranteed)
             .map(|holder| holder.unit)
             .collect();
         for spot in &mut board.spots {
             for holder in spot.holders.iter().filter(|holder| claim.units.contains(&holder.unit)) {
-                spot.stopping.give(&holder.need);
+                spot.stopping.add(&holder.need);
             }
             spot.holders.retain(|holder| !claim.units.contains(&holder.unit));
         }
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -147,7 +147,7 @@
     /// former start.
     fn held_back(&self, wall: u64) -> Vec<(Group, (usize, Cause))> {
         let mut found = Vec::new();
-        for (id, entry) in self.jobs.iter().filter(|(_, entry)| !entry.progress.state.ended()) {
+        for (id, entry) in self.jobs.iter().filter(|(_, entry)| !entry.progress.state.is_final()) {
             let older = !self.settled && entry.version <= self.claim_version;
             if !older && entry.runs.is_empty() {
                 continue;
@@ -205,7 +205,7 @@
     if !step.gang || !entry.placed(occurrence, number) {
         return 0;
     }
-    if entry.progress.step_done(occurrence, number, step) {
+    if entry.progress.is_step_done(occurrence, number, step) {
         return 0;
     }
     let key = |index| (occurrence, number, index);
@@ -213,7 +213,7 @@
 }
 
 fn is_open(jobs: &BTreeMap<Id, Entry>, id: &str) -> bool {
-    jobs.get(id).is_some_and(|entry| !entry.progress.state.ended())
+    jobs.get(id).is_some_and(|entry| !entry.progress.state.is_final())
 }
 
 fn group(candidate: &Candidate) -> Group {
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -31,7 +31,7 @@
     pub(crate) fn broke(&mut self, name: &str, worker: Incarnation, starts: Vec<(Task, u64)>) {
         self.log("worker broke", name, format!("{worker} just after {}", list_starts(&starts)));
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let there = agent.worker.as_ref().filter(|known| known.is(&worker));
+        let there = agent.worker.as_ref().filter(|known| known.is_incarnation(&worker));
         if there.is_some_and(|worker| worker.draining) || agent.doomed {
             return;
         }
@@ -84,7 +84,7 @@
     fn count_crash(&mut self, name: &str, task: &Task, run: u64, among: usize) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         // What is done never starts again: it could not be cleared, and others would wait for it.
-        if entry.progress.state.ended() || entry.progress.done(task) {
+        if entry.progress.state.is_final() || entry.progress.is_done(task) {
             return;
         }
         // One that has outlived a start is not the cause; but a list that was held up on its
@@ -92,8 +92,8 @@
         if among > 1 && entry.sound.contains(&entry.key(key(task))) {
             return;
         }
-        let known = entry.progress.crashes(&entry.job, task);
-        let crashes = entry.progress.crash(&entry.job, task, run);
+        let known = entry.progress.crash_count(&entry.job, task);
+        let crashes = entry.progress.record_crash(&entry.job, task, run);
         if crashes == known {
             return;
         }
@@ -161,7 +161,7 @@
         if entry.crashes(&task.job, key(task)) == 0 {
             return;
         }
-        entry.progress.clear(&entry.job, task);
+        entry.progress.clear_crashes(&entry.job, task);
         self.replan = true;
         self.log("crash cleared", &task.job, format!("{task}: {why}"));
         self.touch(&task.job, false);
@@ -239,7 +239,7 @@
     tasks: Vec<u32>,
     now: u64,
 ) -> Vec<(Vec<u32>, bool)> {
-    if !entry.progress.suspected() {
+    if !entry.progress.has_suspects() {
         return vec![(tasks, false)];
     }
     let slot = |index: u32| entry.key((occurrence, step, index));
@@ -277,7 +277,7 @@
     let untried = |slot: &Key| !entry.explained.contains(slot) && !runs(slot);
     let patient = entry.idle.is_none_or(|since| now < since + PATIENCE);
     let holds = |slot: Key| patient || (slot.0, slot.1) == step;
-    entry.progress.suspects().filter(untried).any(holds)
+    entry.progress.suspected_tasks().filter(untried).any(holds)
 }
 
 /// Other steps of a job of which nothing runs wait no longer than this for a place for a
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -51,7 +51,7 @@
             same_rack: ask.step.gang && ask.step.same_rack && ask.count > 1,
             ..Tally::default()
         };
-        let need = ask.step.charge();
+        let need = ask.step.resources();
         for (place, spot) in spots.iter().enumerate().filter(|(_, spot)| ask.allows(spot)) {
             // Most places of a full pool hold nothing more, and the first few workers
             // would hold all if they were empty: divisions are left out there.
--- a/crates/dispatch/src/unlisted.rs
+++ b/crates/dispatch/src/unlisted.rs
@@ -42,7 +42,8 @@
     /// True if the run's worker answers, and has not listed it last.
     fn omits(&self, id: &str, key: Key, placed: &Placed) -> bool {
         let Some(agent) = self.agents.get(&placed.agent) else { return false };
-        let there = agent.worker.as_ref().is_some_and(|worker| worker.is(&placed.worker));
+        let there =
+            agent.worker.as_ref().is_some_and(|worker| worker.is_incarnation(&placed.worker));
         let run = (task(id, key), placed.run);
         there && agent.fenced && agent.link.is_some() && !agent.listed.contains(&run)
     }
--- a/crates/dispatch/tests/bed/mod.rs
+++ b/crates/dispatch/tests/bed/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use quincewheel_dispatch::{Batch, Output, Owner, Question, Settings};
-use quincewheel_job::{End, How, Job, Need, Queue, Run, Step, Task, Worker};
+use quincewheel_job::{End, How, Job, Queue, Resources, Run, Step, Task, Worker};
 use quincewheel_wire::{LinkId, Notice, Order};
 
 pub struct Bed {
@@ -164,7 +164,7 @@
     Worker {
         id: format!("i{number}"),
         pool: "p".into(),
-        capacity: Need { cpu: 64_000, memory: 262_144, accelerators: 8 },
+        capacity: Resources { cpu: 64_000, memory: 262_144, accelerators: 8 },
         rack: format!("r{}", number / 3),
         labels: vec!["a".into(), format!("r{}", number / 3)],
         ..Worker::default()
@@ -178,7 +178,7 @@
 }
 
 pub fn step(count: u32, accelerators: u64) -> Step {
-    let need = Need { cpu: 1000, memory: 1000, accelerators };
+    let need = Resources { cpu: 1000, memory: 1000, accelerators };
     Step { count, need, estimate: 1000, ..Step::default() }
 }
 
--- a/crates/dispatch/tests/capacity.rs
+++ b/crates/dispatch/tests/capacity.rs
@@ -4,12 +4,12 @@
 
 use bed::{Bed, job, run, step, task, worker};
 use insta::assert_snapshot;
-use quincewheel_job::{Need, Run, Worker};
+use quincewheel_job::{Resources, Run, Worker};
 use quincewheel_wire::Notice;
 
 /// A worker reports so many accelerators.
 fn status(bed: &mut Bed, accelerators: u64, running: &[Run]) {
-    let capacity = Need { accelerators, ..worker(0).capacity };
+    let capacity = Resources { accelerators, ..worker(0).capacity };
     let worker = Some(Worker { capacity, ..worker(0) });
     let (stamp, running, ended) = (bed.now, running.to_vec(), Vec::new());
     bed.notice(0, Notice::Status { stamp, worker, fenced: true, running, ended });
@@ -46,7 +46,7 @@
     let ended = [bed::end(1, task("a", 0, 0), 1, quincewheel_job::How::Done)];
     let (stamp, worker) = (
         bed.now,
-        Some(Worker { capacity: Need { accelerators: 4, ..worker(0).capacity }, ..worker(0) }),
+        Some(Worker { capacity: Resources { accelerators: 4, ..worker(0).capacity }, ..worker(0) }),
     );
     let (running, ended) = (runs[1..].to_vec(), ended.to_vec());
     bed.notice(0, Notice::Status { stamp, worker, fenced: true, running, ended });
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -13,7 +13,7 @@
 
 fn zones(names: &[&str]) -> Evacuation {
     let mut zones = Evacuation::default();
-    names.iter().for_each(|name| zones.begin(name));
+    names.iter().for_each(|name| zones.add(name));
     zones
 }
 
--- a/crates/dispatch/tests/pool/mod.rs
+++ b/crates/dispatch/tests/pool/mod.rs
@@ -212,7 +212,7 @@
     /// How often a job's tasks were started, and whether it has ended.
     pub fn story(&self, job: &str) -> String {
         let starts = self.starts.iter().filter(|start| start.starts_with(job)).count();
-        let recorded = self.recorded.get(job).is_some_and(|progress| progress.state.ended());
+        let recorded = self.recorded.get(job).is_some_and(|progress| progress.state.is_final());
         let ended = if recorded { ", ended" } else { "" };
         format!("{job}: {starts} starts{ended}")
     }
--- a/crates/dispatch/tests/room.rs
+++ b/crates/dispatch/tests/room.rs
@@ -7,7 +7,7 @@
 use bed::{Bed, end, job, run, step, task};
 use insta::assert_snapshot;
 use quincewheel_dispatch::Settings;
-use quincewheel_job::{Config, How, Job, Need, Run, Step, Team};
+use quincewheel_job::{Config, How, Job, Resources, Run, Step, Team};
 use quincewheel_wire::Notice;
 
 /// A worker that is full with a run of `job`, which began `age` ms ago.
@@ -179,7 +179,7 @@
 fn work_that_has_time_leaves_whole_workers_to_work_that_has_not() {
     let mut bed = Bed::open(1, 6).idle(6);
     let easy = |now| {
-        let need = Need { cpu: 60_000, memory: 250_000, accelerators: 8 };
+        let need = Resources { cpu: 60_000, memory: 250_000, accelerators: 8 };
         let mut job = job(1, vec![Step { estimate: 9000, need, ..step(1, 8) }]);
         job.queue.stretch = 3.0;
         Job { accepted: now, ..job }
--- a/crates/dispatch/tests/waits.rs
+++ b/crates/dispatch/tests/waits.rs
@@ -7,7 +7,7 @@
 
 use bed::{Bed, end, job, run, step, task};
 use insta::assert_snapshot;
-use quincewheel_job::{Advice, Config, How, Job, Need, Step, Team};
+use quincewheel_job::{Advice, Config, How, Job, Resources, Step, Team};
 use quincewheel_wire::Notice;
 
 /// An owner with idle workers, whose lines about waits are kept.
@@ -104,7 +104,7 @@
 #[test]
 fn whole_workers_spared_for_urgent_work_are_told() {
     let mut bed = open(6);
-    let need = Need { cpu: 60_000, memory: 250_000, accelerators: 8 };
+    let need = Resources { cpu: 60_000, memory: 250_000, accelerators: 8 };
     let mut easy = job(1, vec![Step { estimate: 9000, need, ..step(1, 8) }]);
     easy.queue.stretch = 3.0;
     for number in 0..6 {
--- a/crates/entry/src/site/calls.rs
+++ b/crates/entry/src/site/calls.rs
@@ -39,7 +39,7 @@
     let ms = quincewheel_clock::boot() - began;
     let method = work.form.method();
     shared.metrics.count(method, &answer, ms);
-    if !answer.served() {
+    if !answer.is_success() {
         let id = call.as_ref().and_then(Call::id).unwrap_or_default();
         let age = began.saturating_sub(shared.proved.get());
         let version = shared.config.borrow().as_ref().map_or(0, |config| config.version);
@@ -94,7 +94,7 @@
     let config = shared.config.borrow();
     let Some(config) = config.as_ref() else { return Err(busy(shared)) };
     let target = work.form.target(config, &work.body)?;
-    if target.keyed && !shared.current(quincewheel_clock::boot()) {
+    if target.requires_key && !shared.current(quincewheel_clock::boot()) {
         return Err(busy(shared));
     }
     match &work.body {
@@ -224,7 +224,7 @@
 
 /// The job is stored, which took so many milliseconds: tells it, and takes it in.
 fn accepted(shared: &Site, id: &str, job: Job, stored: Stored, ms: u64) {
-    let (queue, team, chain) = (job.queue.name.as_str(), job.team.as_str(), job.chain());
+    let (queue, team, chain) = (job.queue.name.as_str(), job.team.as_str(), job.critical_path());
     let version = match stored {
         Stored::Here(version) | Stored::Elsewhere(Some(version)) => version,
         Stored::Elsewhere(None) => 0,
@@ -257,7 +257,7 @@
     if view.as_ref().is_some_and(|view| view.job.is_some()) && !known {
         return Answer::Unknown;
     }
-    if view.as_ref().is_some_and(|view| view.state().ended()) {
+    if view.as_ref().is_some_and(|view| view.state().is_final()) {
         return if known { Answer::Cancelled } else { Answer::Unknown };
     }
     let mut result = write(shared, &stores::cancel_row(id)).await;
--- a/crates/entry/src/site/evacuation.rs
+++ b/crates/entry/src/site/evacuation.rs
@@ -14,10 +14,10 @@
     if known.as_ref() == Some(&zones) {
         return;
     }
-    for zone in zones.beyond(&former) {
+    for zone in zones.difference(&former) {
         log::info!(event = "evacuation", zone = zone; "operators evacuate it");
     }
-    for zone in former.beyond(&zones) {
+    for zone in former.difference(&zones) {
         log::info!(event = "evacuation", zone = zone; "operators have taken it back");
     }
     *shared.evacuation.borrow_mut() = Some(zones);
--- a/crates/entry/src/site/looks.rs
+++ b/crates/entry/src/site/looks.rs
@@ -29,7 +29,7 @@
 /// Brings what this entry knows of a job up to date, as far as that takes no longer than
 /// a record does.
 pub(crate) async fn refresh(shared: &Site, id: &str) {
-    let open = shared.mirror.borrow().jobs.get(id).is_some_and(|view| !view.state().ended());
+    let open = shared.mirror.borrow().jobs.get(id).is_some_and(|view| !view.state().is_final());
     if !open {
         return;
     }
@@ -69,7 +69,7 @@
     let ending = || {
         let owner = shared.owner.borrow();
         let ended = owner.as_ref().is_some_and(|owner| owner.has_ended(id));
-        ended && shared.mirror.borrow().jobs.get(id).is_some_and(|view| !view.state().ended())
+        ended && shared.mirror.borrow().jobs.get(id).is_some_and(|view| !view.state().is_final())
     };
     let end = Instant::now() + RECORD;
     while ending() && Instant::now() < end {
--- a/crates/entry/src/site/rpc.rs
+++ b/crates/entry/src/site/rpc.rs
@@ -4,7 +4,7 @@
 
 use quincewheel_http::{Body, Reply};
 use quincewheel_job::{
-    Answer, Call, Config, Job, Need, Refusal, Schedule, State, Step, Target, is_name,
+    Answer, Call, Config, Job, Refusal, Resources, Schedule, State, Step, Target, is_job_id,
 };
 use quincewheel_schema::jobs as schema;
 
@@ -48,11 +48,11 @@
         _ => return Err(Answer::Refused(Refusal::Path)),
     };
     let queue = config.queues.get(&queue).ok_or(Answer::Refused(Refusal::Queue))?.clone();
-    let team = config.team(key).ok_or(Answer::Refused(Refusal::Key))?.to_owned();
-    if call.id().is_some_and(|id| !is_name(id)) {
+    let team = config.team_of_key(key).ok_or(Answer::Refused(Refusal::Key))?.to_owned();
+    if call.id().is_some_and(|id| !is_job_id(id)) {
         return Err(Answer::Invalid("id must be 16 hexadecimal digits".to_owned()));
     }
-    Ok(Target { call, queue, team, keyed: true })
+    Ok(Target { call, queue, team, requires_key: true })
 }
 
 /// The job that a submission holds.
@@ -84,7 +84,7 @@
     let need = step.need.unwrap_or_default();
     Step {
         count: step.count,
-        need: Need { cpu: need.cpu, memory: need.memory, accelerators: need.accelerators },
+        need: Resources { cpu: need.cpu, memory: need.memory, accelerators: need.accelerators },
         estimate: step.estimate_ms,
         after: step.after,
         checkpoints: step.checkpoints,
--- a/crates/job/src/answer.rs
+++ b/crates/job/src/answer.rs
@@ -38,7 +38,7 @@
 
 impl Answer {
     /// True if the client got what it asked for.
-    pub fn served(&self) -> bool {
+    pub fn is_success(&self) -> bool {
         matches!(self, Answer::Accepted | Answer::State(_) | Answer::Waiting(_) | Answer::Cancelled)
     }
 
--- a/crates/job/src/call.rs
+++ b/crates/job/src/call.rs
@@ -32,7 +32,7 @@
     /// The caller's team; empty on a queue that is open to all.
     pub team: String,
     /// The answer depends on a key, so on a current configuration.
-    pub keyed: bool,
+    pub requires_key: bool,
 }
 
 impl Call {
@@ -46,6 +46,6 @@
 }
 
 /// True for a job's name: 16 hexadecimal digits.
-pub fn is_name(id: &str) -> bool {
+pub fn is_job_id(id: &str) -> bool {
     id.len() == 16 && id.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
--- a/crates/job/src/config.rs
+++ b/crates/job/src/config.rs
@@ -31,7 +31,7 @@
     }
 
     /// The team that holds a key.
-    pub fn team(&self, key: &str) -> Option<&str> {
+    pub fn team_of_key(&self, key: &str) -> Option<&str> {
         self.keys.get(key).map(String::as_str)
     }
 }
--- a/crates/job/src/error.rs
+++ b/crates/job/src/error.rs
@@ -6,18 +6,18 @@
     /// The field, as a path such as `steps[2].after`.
     pub field: String,
     /// What it must be.
-    pub text: String,
+    pub message: String,
 }
 
 impl Error {
-    pub(crate) fn new(field: impl Into<String>, text: impl Into<String>) -> Error {
-        Error { field: field.into(), text: text.into() }
+    pub(crate) fn new(field: impl Into<String>, message: impl Into<String>) -> Error {
+        Error { field: field.into(), message: message.into() }
     }
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {}", self.field, self.text)
+        write!(f, "{} {}", self.field, self.message)
     }
 }
 
--- a/crates/job/src/evacuation.rs
+++ b/crates/job/src/evacuation.rs
@@ -12,7 +12,7 @@
 
 impl Evacuation {
     /// True if the availability zone is evacuated.
-    pub fn covers(&self, zone: &str) -> bool {
+    pub fn contains(&self, zone: &str) -> bool {
         self.zones.contains(zone)
     }
 
@@ -27,17 +27,17 @@
     }
 
     /// Those that are evacuated here and not in `other`.
-    pub fn beyond<'a>(&'a self, other: &'a Evacuation) -> impl Iterator<Item = &'a str> {
+    pub fn difference<'a>(&'a self, other: &'a Evacuation) -> impl Iterator<Item = &'a str> {
         self.zones.difference(&other.zones).map(String::as_str)
     }
 
     /// The availability zone is evacuated from now on.
-    pub fn begin(&mut self, zone: &str) {
+    pub fn add(&mut self, zone: &str) {
         self.zones.insert(zone.to_owned());
     }
 
     /// The availability zone is taken back.
-    pub fn end(&mut self, zone: &str) {
+    pub fn remove(&mut self, zone: &str) {
         self.zones.remove(zone);
     }
 }
--- a/crates/job/src/job.rs
+++ b/crates/job/src/job.rs
@@ -62,7 +62,7 @@
     }
 
     /// True if its tasks run until it is cancelled.
-    pub fn perpetual(&self) -> bool {
+    pub fn is_perpetual(&self) -> bool {
         self.steps.iter().any(|step| step.perpetual)
     }
 
@@ -74,13 +74,13 @@
     }
 
     /// The estimated milliseconds of its longest chain of steps.
-    pub fn chain(&self) -> u64 {
-        self.chain_by(|_, step| step.estimate)
+    pub fn critical_path(&self) -> u64 {
+        self.critical_path_by(|_, step| step.estimate)
     }
 
     /// The milliseconds of its longest chain of steps, where `time` says how
     /// long each takes.
-    pub fn chain_by(&self, time: impl Fn(u32, &Step) -> u64) -> u64 {
+    pub fn critical_path_by(&self, time: impl Fn(u32, &Step) -> u64) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for (number, step) in (0u32..).zip(&self.steps) {
             let begin = step.after.iter().filter_map(|&n| ends.get(n as usize)).max();
--- a/crates/job/src/progress.rs
+++ b/crates/job/src/progress.rs
@@ -24,7 +24,7 @@
 
 impl State {
     /// True if nothing more will run.
-    pub fn ended(self) -> bool {
+    pub fn is_final(self) -> bool {
         matches!(self, State::Succeeded | State::Failed | State::Cancelled)
     }
 }
@@ -49,34 +49,34 @@
 
 impl Progress {
     /// True if the task is done.
-    pub fn done(&self, task: &Task) -> bool {
+    pub fn is_done(&self, task: &Task) -> bool {
         let tasks = self.done.get(&task.occurrence).and_then(|steps| steps.get(&task.step));
         tasks.is_some_and(|tasks| tasks.binary_search(&task.index).is_ok())
     }
 
     /// True if all tasks of a step are done.
-    pub fn step_done(&self, occurrence: u32, number: u32, step: &Step) -> bool {
+    pub fn is_step_done(&self, occurrence: u32, number: u32, step: &Step) -> bool {
         let tasks = self.done.get(&occurrence).and_then(|steps| steps.get(&number));
         tasks.map_or(0, Vec::len) >= step.count as usize
     }
 
     /// True if all steps that `step` waits for are done.
-    pub fn ready(&self, job: &Job, occurrence: u32, step: &Step) -> bool {
+    pub fn is_step_ready(&self, job: &Job, occurrence: u32, step: &Step) -> bool {
         step.after.iter().all(|&before| {
             let Some(earlier) = job.steps.get(before as usize) else { return true };
-            self.step_done(occurrence, before, earlier)
+            self.is_step_done(occurrence, before, earlier)
         })
     }
 
     /// True if all steps of an occurrence are done.
-    pub fn occurrence_done(&self, job: &Job, occurrence: u32) -> bool {
+    pub fn is_occurrence_done(&self, job: &Job, occurrence: u32) -> bool {
         let mut steps = (0u32..).zip(&job.steps);
-        steps.all(|(number, step)| self.step_done(occurrence, number, step))
+        steps.all(|(number, step)| self.is_step_done(occurrence, number, step))
     }
 
     /// Marks a task as done, or its whole gang: one member's end stands for
     /// all, since they end together.
-    pub fn finish(&mut self, job: &Job, task: &Task) {
+    pub fn mark_done(&mut self, job: &Job, task: &Task) {
         let Some(step) = job.steps.get(task.step as usize) else { return };
         let tasks = self.done.entry(task.occurrence).or_default().entry(task.step).or_default();
         if step.gang {
@@ -84,8 +84,8 @@
         } else if let Err(place) = tasks.binary_search(&task.index) {
             tasks.insert(place, task.index);
         }
-        self.clear(job, task);
-        if (0..job.occurrences()).all(|occurrence| self.occurrence_done(job, occurrence)) {
+        self.clear_crashes(job, task);
+        if (0..job.occurrences()).all(|occurrence| self.is_occurrence_done(job, occurrence)) {
             self.state = State::Succeeded;
         }
     }
@@ -98,18 +98,18 @@
     /// again, and from several workers in any order; each is known by its run's
     /// number. Counted twice, one would let a job fail that has tries left; left
     /// out, it would let a task start once too often.
-    pub fn fail(&mut self, job: &Job, task: &Task, run: u64) -> u32 {
+    pub fn record_failure(&mut self, job: &Job, task: &Task, run: u64) -> u32 {
         count(&mut self.failed, &slot(job, task), run)
     }
 
     /// Counts a run just after whose start a worker crashed, and returns how many there were
     /// of its task or gang since one of them outlived its start.
-    pub fn crash(&mut self, job: &Job, task: &Task, run: u64) -> u32 {
+    pub fn record_crash(&mut self, job: &Job, task: &Task, run: u64) -> u32 {
         count(&mut self.crashed, &slot(job, task), run)
     }
 
     /// How many workers in a row crashed just after the start of the task or its gang.
-    pub fn crashes(&self, job: &Job, task: &Task) -> u32 {
+    pub fn crash_count(&self, job: &Job, task: &Task) -> u32 {
         if self.crashed.is_empty() {
             return 0;
         }
@@ -120,7 +120,7 @@
 
     /// Occurrence, step and index of the tasks, or of the first members of gangs, that may
     /// crash workers.
-    pub fn suspects(&self) -> impl Iterator<Item = (u32, u32, u32)> {
+    pub fn suspected_tasks(&self) -> impl Iterator<Item = (u32, u32, u32)> {
         self.crashed.iter().flat_map(|(&occurrence, steps)| {
             let tasks = |(&step, tasks): (&u32, &BTreeMap<u32, BTreeSet<u64>>)| {
                 tasks.keys().map(move |&index| (occurrence, step, index)).collect::<Vec<_>>()
@@ -131,12 +131,12 @@
 
     /// True if a worker crashed just after a start of any task, and nothing has shown that
     /// another one was the cause.
-    pub fn suspected(&self) -> bool {
+    pub fn has_suspects(&self) -> bool {
         !self.crashed.is_empty()
     }
 
     /// A run of the task or its gang outlived its start: it crashes no workers.
-    pub fn clear(&mut self, job: &Job, task: &Task) {
+    pub fn clear_crashes(&mut self, job: &Job, task: &Task) {
         let slot = slot(job, task);
         if let Some(steps) = self.crashed.get_mut(&slot.occurrence) {
             if let Some(tasks) = steps.get_mut(&slot.step) {
--- a/crates/job/src/need.rs
+++ b/crates/job/src/resources.rs
@@ -2,7 +2,7 @@
 
 /// Processor, memory and accelerators that a task takes or a worker has.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Need {
+pub struct Resources {
     /// Thousandths of a core.
     pub cpu: u64,
     /// Memory, in MB.
@@ -11,28 +11,28 @@
     pub accelerators: u64,
 }
 
-impl Need {
+impl Resources {
     /// True if `self` fits into `room`.
-    pub fn fits(&self, room: &Need) -> bool {
+    pub fn fits(&self, room: &Resources) -> bool {
         self.cpu <= room.cpu && self.memory <= room.memory && self.accelerators <= room.accelerators
     }
 
     /// Takes `need` away, down to nothing.
-    pub fn take(&mut self, need: &Need) {
+    pub fn subtract(&mut self, need: &Resources) {
         self.cpu = self.cpu.saturating_sub(need.cpu);
         self.memory = self.memory.saturating_sub(need.memory);
         self.accelerators = self.accelerators.saturating_sub(need.accelerators);
     }
 
     /// Adds `need`.
-    pub fn give(&mut self, need: &Need) {
+    pub fn add(&mut self, need: &Resources) {
         self.cpu += need.cpu;
         self.memory += need.memory;
         self.accelerators += need.accelerators;
     }
 
     /// How many times `self` fits into `room`, at most `most`.
-    pub fn copies(&self, room: &Need, most: u64) -> u64 {
+    pub fn fit_count(&self, room: &Resources, most: u64) -> u64 {
         let by = |need: u64, room: u64| room.checked_div(need).unwrap_or(most);
         by(self.cpu, room.cpu)
             .min(by(self.memory, room.memory))
--- a/crates/job/src/step.rs
+++ b/crates/job/src/step.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-use crate::need::Need;
+use crate::resources::Resources;
 
 /// Tasks of one kind within a job.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -9,7 +9,7 @@
     /// How many tasks.
     pub count: u32,
     /// What each task takes.
-    pub need: Need,
+    pub need: Resources,
     /// The client's rough estimate of a task's run time, in milliseconds.
     pub estimate: u64,
     /// Earlier steps, by number from 0, that must be done first.
@@ -43,9 +43,9 @@
 
 impl Step {
     /// What a task takes from a worker's capacity.
-    pub fn charge(&self) -> Need {
+    pub fn resources(&self) -> Resources {
         let cpu = if self.fills { 0 } else { self.need.cpu };
-        Need { cpu, ..self.need }
+        Resources { cpu, ..self.need }
     }
 
     /// Count, accelerators a task, and what else decides where it may run:
--- a/crates/job/src/worker.rs
+++ b/crates/job/src/worker.rs
@@ -1,7 +1,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::incarnation::Incarnation;
-use crate::need::Need;
+use crate::resources::Resources;
 
 /// One incarnation of a worker, as it reports itself.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -17,7 +17,7 @@
     /// Where it is.
     pub zone: String,
     /// What it has in all.
-    pub capacity: Need,
+    pub capacity: Resources,
     /// All its labels.
     pub labels: Vec<String>,
     /// The label that names its rack; empty if it has none.
@@ -38,12 +38,12 @@
     }
 
     /// True if it is this incarnation.
-    pub fn is(&self, incarnation: &Incarnation) -> bool {
+    pub fn is_incarnation(&self, incarnation: &Incarnation) -> bool {
         self.id == incarnation.id && self.born == incarnation.born
     }
 
     /// True if it can run other tasks than a later report of the same incarnation says.
-    pub fn fits_others(&self, later: &Worker) -> bool {
+    pub fn eligibility_differs(&self, later: &Worker) -> bool {
         self.capacity != later.capacity || self.labels != later.labels
     }
 }
--- a/crates/job/tests/progress.rs
+++ b/crates/job/tests/progress.rs
@@ -26,8 +26,12 @@
     let mut progress = Progress::default();
     let mut seen = Vec::new();
     for done in [task(0, 0, 1), task(0, 0, 0), task(0, 1, 0)] {
-        seen.push(format!("{} {:?}", progress.ready(&job, 0, &job.steps[1]), progress.state));
-        progress.finish(&job, &done);
+        seen.push(format!(
+            "{} {:?}",
+            progress.is_step_ready(&job, 0, &job.steps[1]),
+            progress.state
+        ));
+        progress.mark_done(&job, &done);
     }
     seen.push(format!("{:?}", progress.state));
     assert_snapshot!(seen.join("\n"), @r"
@@ -42,8 +46,11 @@
 fn one_member_of_a_gang_speaks_for_all_and_its_failures_count_together() {
     let job = job(vec![Step { count: 3, gang: true, ..Step::default() }]);
     let mut progress = Progress::default();
-    let counts = [progress.fail(&job, &task(0, 0, 2), 1), progress.fail(&job, &task(0, 0, 1), 2)];
-    progress.finish(&job, &task(0, 0, 1));
+    let counts = [
+        progress.record_failure(&job, &task(0, 0, 2), 1),
+        progress.record_failure(&job, &task(0, 0, 1), 2),
+    ];
+    progress.mark_done(&job, &task(0, 0, 1));
     assert_snapshot!(format!("{counts:?} {:?}", progress.state), @"[1, 2] Succeeded");
 }
 
@@ -54,7 +61,7 @@
 fn an_end_that_is_listed_again_counts_once() {
     let job = job(vec![Step { count: 1, ..Step::default() }]);
     let mut progress = Progress::default();
-    let counts = [1, 1, 1001, 1, 3].map(|run| progress.fail(&job, &task(0, 0, 0), run));
+    let counts = [1, 1, 1001, 1, 3].map(|run| progress.record_failure(&job, &task(0, 0, 0), run));
     assert_snapshot!(format!("{counts:?}"), @"[1, 1, 2, 2, 3]");
 }
 
@@ -63,9 +70,9 @@
     let mut job = job(vec![Step { count: 1, ..Step::default() }]);
     job.schedule = Some(Schedule { times: 2, first: 1000, every: 500 });
     let mut progress = Progress::default();
-    progress.finish(&job, &task(1, 0, 0));
+    progress.mark_done(&job, &task(1, 0, 0));
     let half = progress.state;
-    progress.finish(&job, &task(0, 0, 0));
+    progress.mark_done(&job, &task(0, 0, 0));
     assert_snapshot!(format!("{half:?} {:?}", progress.state), @"Queued Succeeded");
 }
 
--- a/crates/place/src/ask.rs
+++ b/crates/place/src/ask.rs
@@ -36,12 +36,12 @@
     }
 
     /// How many tasks fit on the worker with this much room.
-    pub fn copies(&self, place: usize, room: &quincewheel_job::Need) -> u64 {
+    pub fn copies(&self, place: usize, room: &quincewheel_job::Resources) -> u64 {
         let held = u64::from(self.held.get(place).copied().unwrap_or(0));
         let cap = match u64::from(self.step.per_worker) {
             0 => u64::from(self.count),
             most => most.saturating_sub(held).min(u64::from(self.count)),
         };
-        self.step.charge().copies(room, cap)
+        self.step.resources().fit_count(room, cap)
     }
 }
--- a/crates/place/src/pack.rs
+++ b/crates/place/src/pack.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeSet;
 
-use quincewheel_job::Need;
+use quincewheel_job::Resources;
 
 use crate::ask::Ask;
 use crate::spot::Spot;
@@ -17,7 +17,7 @@
 /// too, if half of the pool is free: it would stand still beside idle workers
 /// for as long as a little work goes on in each rack.
 pub fn pack(spots: &[Spot], ask: &Ask<'_>) -> Vec<Choice> {
-    let free: Vec<Need> = spots.iter().map(|spot| spot.free).collect();
+    let free: Vec<Resources> = spots.iter().map(|spot| spot.free).collect();
     if !ask.step.gang {
         return fill(spots, &free, ask, |_| true);
     }
@@ -45,7 +45,7 @@
 
 /// True if the rack would hold all tasks if nothing ran on it.
 pub(crate) fn holds_when_empty(spots: &[Spot], ask: &Ask<'_>, rack: &str) -> bool {
-    let all: Vec<Need> = spots.iter().map(|spot| spot.capacity).collect();
+    let all: Vec<Resources> = spots.iter().map(|spot| spot.capacity).collect();
     fill(spots, &all, ask, |spot| spot.rack == rack).len() == ask.count as usize
 }
 
@@ -70,11 +70,11 @@
 /// Puts tasks one after the other where the least is left over.
 pub(crate) fn fill(
     spots: &[Spot],
-    rooms: &[Need],
+    rooms: &[Resources],
     ask: &Ask<'_>,
     allowed: impl Fn(&Spot) -> bool,
 ) -> Vec<Choice> {
-    let need = ask.step.charge();
+    let need = ask.step.resources();
     let mut rooms = rooms.to_vec();
     let mut choices: Vec<Choice> = Vec::new();
     let mut counts = vec![0u64; spots.len()];
@@ -90,7 +90,7 @@
         let Some(best) = fits.min_by_key(|&place| rank(&spots[place], &rooms[place], ask)) else {
             break;
         };
-        rooms[best].take(&need);
+        rooms[best].subtract(&need);
         counts[best] += 1;
         choices.push(best);
     }
@@ -99,7 +99,7 @@
 
 /// What makes a place the better choice: sound, near the data, and leaving the
 /// fewest accelerators and then the least of the rest.
-fn rank(spot: &Spot, room: &Need, ask: &Ask<'_>) -> (bool, bool, u64, u64) {
+fn rank(spot: &Spot, room: &Resources, ask: &Ask<'_>) -> (bool, bool, u64, u64) {
     let near = &ask.step.near;
     let far = !near.is_empty() && spot.rack != *near;
     (spot.doubtful, far, room.accelerators, room.memory)
--- a/crates/place/src/reclaim.rs
+++ b/crates/place/src/reclaim.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-use quincewheel_job::Need;
+use quincewheel_job::Resources;
 
 use crate::ask::Ask;
 use crate::pack::{Choice, holds_when_empty, racks};
@@ -38,9 +38,9 @@
 /// Places the tasks within the allowed workers, cheapest first, and says what
 /// that loses.
 fn attempt(spots: &[Spot], ask: &Ask<'_>, allowed: impl Fn(&Spot) -> bool) -> Option<Claim> {
-    let need = ask.step.charge();
+    let need = ask.step.resources();
     let mut gone: BTreeSet<u64> = BTreeSet::new();
-    let mut rooms: Vec<Need> = spots.iter().map(|spot| spot.near(ask.sure)).collect();
+    let mut rooms: Vec<Resources> = spots.iter().map(|spot| spot.near(ask.sure)).collect();
     let mut claim = Claim::default();
     let mut counts = vec![0u32; spots.len()];
     let mut loss = 0;
@@ -65,7 +65,7 @@
             release(spots, &mut rooms, unit);
             gone.insert(unit);
         }
-        rooms[place].take(&need);
+        rooms[place].subtract(&need);
         counts[place] += 1;
         claim.choices.push(place);
     }
@@ -75,28 +75,33 @@
 }
 
 /// The units to stop on one worker so that a task fits, and what they lose.
-fn clear(spot: &Spot, room: &Need, ask: &Ask<'_>, gone: &BTreeSet<u64>) -> Option<(Vec<u64>, u64)> {
-    let need = ask.step.charge();
+fn clear(
+    spot: &Spot,
+    room: &Resources,
+    ask: &Ask<'_>,
+    gone: &BTreeSet<u64>,
+) -> Option<(Vec<u64>, u64)> {
+    let need = ask.step.resources();
     let mut room = *room;
-    let mut chosen: BTreeMap<u64, (Need, u64)> = BTreeMap::new();
-    let mut units: BTreeMap<u64, (Need, u64)> = BTreeMap::new();
+    let mut chosen: BTreeMap<u64, (Resources, u64)> = BTreeMap::new();
+    let mut units: BTreeMap<u64, (Resources, u64)> = BTreeMap::new();
     let open = |holder: &&Holder| !gone.contains(&holder.unit) && ask.displaces(holder);
     for holder in spot.holders.iter().filter(open) {
-        units.entry(holder.unit).or_insert((Need::default(), holder.loss)).0.give(&holder.need);
+        units.entry(holder.unit).or_insert((Resources::default(), holder.loss)).0.add(&holder.need);
     }
     while !need.fits(&room) {
         // The cheapest for each accelerator that it frees.
         let useful = units.iter().filter(|(unit, _)| !chosen.contains_key(unit));
         let (&unit, &(frees, loss)) =
             useful.min_by_key(|(_, (frees, loss))| loss / (frees.accelerators + 1))?;
-        room.give(&frees);
+        room.add(&frees);
         chosen.insert(unit, (frees, loss));
     }
     // What turned out not to be needed stays.
     let order: Vec<u64> = chosen.keys().copied().collect();
     for unit in order {
         let mut without = room;
-        without.take(&chosen[&unit].0);
+        without.subtract(&chosen[&unit].0);
         if need.fits(&without) {
             room = without;
             chosen.remove(&unit);
@@ -107,10 +112,10 @@
 }
 
 /// Frees all places of a unit, on every worker.
-fn release(spots: &[Spot], rooms: &mut [Need], unit: u64) {
+fn release(spots: &[Spot], rooms: &mut [Resources], unit: u64) {
     for (spot, room) in spots.iter().zip(rooms) {
         for holder in spot.holders.iter().filter(|holder| holder.unit == unit) {
-            room.give(&holder.need);
+            room.add(&holder.need);
         }
     }
 }
--- a/crates/place/src/spot.rs
+++ b/crates/place/src/spot.rs
@@ -1,4 +1,4 @@
-use quincewheel_job::{Incarnation, Need};
+use quincewheel_job::{Incarnation, Resources};
 
 use crate::hold::Hold;
 
@@ -16,14 +16,14 @@
     /// Its labels.
     pub labels: Vec<String>,
     /// What it has in all.
-    pub capacity: Need,
+    pub capacity: Resources,
     /// What is free.
-    pub free: Need,
+    pub free: Resources,
     /// What becomes free because runs are being stopped.
-    pub stopping: Need,
+    pub stopping: Resources,
     /// What becomes free about as soon as a stop would make it so, because runs
     /// end by themselves, going by their progress.
-    pub ending: Need,
+    pub ending: Resources,
     /// Its doubtful health: work goes elsewhere if it can.
     pub doubtful: bool,
     /// What could be taken away.
@@ -33,22 +33,22 @@
 impl Spot {
     /// What is free now or soon. One that must be `sure` does not count on
     /// runs that end by themselves: their worker may slow down.
-    pub fn near(&self, sure: bool) -> Need {
+    pub fn near(&self, sure: bool) -> Resources {
         let mut near = self.free;
-        near.give(&self.stopping);
+        near.add(&self.stopping);
         if !sure {
-            near.give(&self.ending);
+            near.add(&self.ending);
         }
         near
     }
 
     /// Sets room aside: what is free, and beyond that what is free soon.
-    pub fn reserve(&mut self, need: &Need) {
+    pub fn reserve(&mut self, need: &Resources) {
         let mut rest = *need;
         for room in [&mut self.free, &mut self.stopping, &mut self.ending] {
             let had = *room;
-            room.take(&rest);
-            rest.take(&had);
+            room.subtract(&rest);
+            rest.subtract(&had);
         }
     }
 }
@@ -60,7 +60,7 @@
     /// hold places on several workers.
     pub unit: u64,
     /// What it takes here.
-    pub need: Need,
+    pub need: Resources,
     /// What it gives way to.
     pub hold: Hold,
     /// What stopping the whole unit loses, in core-milliseconds.
--- a/crates/place/tests/packing.rs
+++ b/crates/place/tests/packing.rs
@@ -1,7 +1,7 @@
 //! Where tasks go on a pool of three racks of two workers with 8 accelerators.
 
 use insta::assert_snapshot;
-use quincewheel_job::{Need, Step};
+use quincewheel_job::{Resources, Step};
 use quincewheel_place::{Ask, Hold, Holder, Spot, pack, reclaim};
 
 /// Workers with so many accelerators free each.
@@ -18,8 +18,8 @@
     free.into_iter().enumerate().map(spot).collect()
 }
 
-fn need(accelerators: u64) -> Need {
-    Need { cpu: accelerators * 1000, memory: accelerators * 1000, accelerators }
+fn need(accelerators: u64) -> Resources {
+    Resources { cpu: accelerators * 1000, memory: accelerators * 1000, accelerators }
 }
 
 fn step(count: u32, accelerators: u64) -> Step {
--- a/crates/policy/src/goal.rs
+++ b/crates/policy/src/goal.rs
@@ -1,6 +1,6 @@
 //! When a job should end, and what it can still earn.
 
-use quincewheel_job::{Need, Step};
+use quincewheel_job::{Resources, Step};
 
 use crate::rank::Hope;
 
@@ -67,8 +67,8 @@
 
 /// How many times over the tasks of a step run one after the other, in a pool that
 /// has `all`.
-pub fn waves(step: &Step, all: Option<&Need>) -> u64 {
+pub fn waves(step: &Step, all: Option<&Resources>) -> u64 {
     let Some(all) = all.filter(|_| !step.gang) else { return 1 };
-    let most = step.charge().copies(all, u64::MAX) / SHARE;
+    let most = step.resources().fit_count(all, u64::MAX) / SHARE;
     u64::from(step.count).div_ceil(most.max(1)).max(1)
 }
--- a/crates/policy/src/spare.rs
+++ b/crates/policy/src/spare.rs
@@ -1,6 +1,6 @@
 //! Whole workers that are kept for work that cannot wait.
 
-use quincewheel_job::Need;
+use quincewheel_job::Resources;
 use quincewheel_place::Spot;
 
 /// Whole workers of a pool that are kept for work that cannot wait, in percent
@@ -16,7 +16,7 @@
 /// Urgent gangs come at any moment, want whole workers of one rack, and have
 /// less time than a stop takes. Where work that has many seconds left takes
 /// the last such workers, each urgent gang stops some of it.
-pub fn spare(spots: &mut [Spot], pool: &str) -> Vec<(usize, Need)> {
+pub fn spare(spots: &mut [Spot], pool: &str) -> Vec<(usize, Resources)> {
     let all = spots.iter().filter(|spot| spot.pool == pool).count();
     let mut free: Vec<usize> = (0..spots.len())
         .filter(|&place| {
@@ -37,8 +37,8 @@
 }
 
 /// Shows again what [`spare`] took, and returns where.
-pub fn unspare(spots: &mut [Spot], spared: Vec<(usize, Need)>) -> Vec<usize> {
-    let show = |(place, free): (usize, Need)| {
+pub fn unspare(spots: &mut [Spot], spared: Vec<(usize, Resources)>) -> Vec<usize> {
+    let show = |(place, free): (usize, Resources)| {
         spots[place].free = free;
         place
     };
@@ -48,11 +48,11 @@
 /// True if half of the pool is free by any measure: of accelerators,
 /// processors or memory.
 pub fn is_half_free(spots: &[Spot], pool: &str) -> bool {
-    let mut all = Need::default();
-    let mut free = Need::default();
+    let mut all = Resources::default();
+    let mut free = Resources::default();
     for spot in spots.iter().filter(|spot| spot.pool == pool) {
-        all.give(&spot.capacity);
-        free.give(&spot.free);
+        all.add(&spot.capacity);
+        free.add(&spot.free);
     }
     free.accelerators * 2 >= all.accelerators
         || free.cpu * 2 >= all.cpu
--- a/crates/policy/tests/rooms.rs
+++ b/crates/policy/tests/rooms.rs
@@ -1,19 +1,19 @@
 //! Work that gives way, and workers that are kept free.
 
 use insta::assert_snapshot;
-use quincewheel_job::{Need, Step};
+use quincewheel_job::{Resources, Step};
 use quincewheel_place::Spot;
 use quincewheel_policy::{
     Guarantees, is_half_free, loss, pays, promised, spare, unspare, waves, weight,
 };
 
 fn step(count: u32, accelerators: u64) -> Step {
-    let need = Need { cpu: 8000, memory: 0, accelerators };
+    let need = Resources { cpu: 8000, memory: 0, accelerators };
     Step { count, need, ..Step::default() }
 }
 
 fn spot(rack: &str, free: u64) -> Spot {
-    let need = |accelerators| Need { cpu: 64_000, memory: 1, accelerators };
+    let need = |accelerators| Resources { cpu: 64_000, memory: 1, accelerators };
     Spot {
         pool: "p".into(),
         rack: rack.into(),
@@ -90,7 +90,7 @@
 // runs in waves, a gang never does.
 #[test]
 fn a_wide_step_runs_in_waves() {
-    let all = Need { cpu: 704_000, memory: 0, accelerators: 88 };
+    let all = Resources { cpu: 704_000, memory: 0, accelerators: 88 };
     let told = [(step(9, 1), true), (step(55, 1), true), (step(9, 8), true), (step(9, 8), false)]
         .map(|(step, known)| waves(&step, known.then_some(&all)));
     let gang = waves(&Step { gang: true, ..step(9, 8) }, Some(&all));
--- a/crates/runner/src/incarnations.rs
+++ b/crates/runner/src/incarnations.rs
@@ -36,7 +36,7 @@
                 // An idle worker is not looked at, so nothing else would tell its owner.
                 let drains = session.worker.draining != worker.draining;
                 let cooled = session.worker.cold == 0 && worker.cold > 0;
-                let changed = drains || cooled || session.worker.fits_others(worker);
+                let changed = drains || cooled || session.worker.eligibility_differs(worker);
                 session.worker = worker.clone();
                 session.reported = now;
                 address.clone_into(&mut session.address);
@@ -49,7 +49,8 @@
             // the one that was does not answer: what is held up comes once.
             Some(session) if session.proven && self.epoch > 0 => {
                 let rival = self.rival.as_ref();
-                let again = rival.is_some_and(|rival| rival.worker.is(&worker.incarnation()));
+                let again =
+                    rival.is_some_and(|rival| rival.worker.is_incarnation(&worker.incarnation()));
                 if again && now > session.reported + self.settings.reports {
                     self.change_session(now);
                     return self.step(now);
@@ -99,7 +100,7 @@
     /// It is believed of one that has said that it drains, as each does before a planned end.
     pub fn leave(&mut self, worker: &Incarnation, now: u64) {
         let ends = |known: &Worker| {
-            let told = known.is(worker) || (worker.born == 0 && known.draining);
+            let told = known.is_incarnation(worker) || (worker.born == 0 && known.draining);
             known.id == worker.id && told
         };
         if let Some(rival) = self.rival.take_if(|rival| ends(&rival.worker)) {
@@ -126,7 +127,7 @@
             return;
         }
         let met = Incarnation { id: session.worker.id.clone(), born };
-        self.rival.take_if(|rival| !rival.worker.is(&met));
+        self.rival.take_if(|rival| !rival.worker.is_incarnation(&met));
         self.change_session(now);
     }
 
--- a/crates/runner/src/orders.rs
+++ b/crates/runner/src/orders.rs
@@ -12,7 +12,8 @@
     /// Passes a pace on. It is not tried again: the owner gives another as long
     /// as the worker's figures are not what they should be.
     pub(crate) fn pace(&mut self, worker: &Incarnation, task: Task, run: u64, percent: u32) {
-        let Some(session) = self.session.as_ref().filter(|session| session.worker.is(worker))
+        let Some(session) =
+            self.session.as_ref().filter(|session| session.worker.is_incarnation(worker))
         else {
             return;
         };
@@ -36,7 +37,7 @@
         // A worker that has not reported yet may run all the same; the owner
         // asks again once it has.
         let Some(session) = &mut self.session else { return };
-        if !session.worker.is(worker) {
+        if !session.worker.is_incarnation(worker) {
             return self.tell(Notice::Unstarted { task, run, why: Refused::Leaving });
         }
         if session.orders.values().any(|pending| pending.starts(&task, run)) {
@@ -45,7 +46,7 @@
         // A worker that leaves, or whose zone is evacuated, takes nothing new, whatever the
         // owner knew when it gave the order; nor does one without a lease. But the
         // order may be a repeated one, and the first may have taken effect.
-        let evacuated = self.evacuation.covers(&session.worker.zone);
+        let evacuated = self.evacuation.contains(&session.worker.zone);
         let refused = session.worker.draining || evacuated || until.is_none();
         *lease = until.unwrap_or(0);
         let mut pending = Pending { doubtful: again, ..Pending::open(action) };
@@ -57,7 +58,8 @@
     }
 
     pub(crate) fn stop(&mut self, worker: &Incarnation, task: Task, run: u64) {
-        let Some(session) = self.session.as_mut().filter(|session| session.worker.is(worker))
+        let Some(session) =
+            self.session.as_mut().filter(|session| session.worker.is_incarnation(worker))
         else {
             return;
         };
@@ -164,7 +166,7 @@
     fn retry(&mut self, id: u64, now: u64) {
         let pause = self.settings.pause;
         let Some(session) = &mut self.session else { return };
-        let evacuated = self.evacuation.covers(&session.worker.zone);
+        let evacuated = self.evacuation.contains(&session.worker.zone);
         let tries = if evacuated { 1 } else { self.settings.tries };
         let Some(pending) = session.orders.get_mut(&id) else { return };
         pending.tries += 1;
--- a/crates/runner/src/runner.rs
+++ b/crates/runner/src/runner.rs
@@ -268,7 +268,7 @@
             Order::Stop { worker, task, run } => self.stop(&worker, task, run),
             Order::Seen { worker, number } => {
                 if let Some(session) =
-                    self.session.as_mut().filter(|session| session.worker.is(&worker))
+                    self.session.as_mut().filter(|session| session.worker.is_incarnation(&worker))
                 {
                     session.seen = session.seen.max(number);
                     session.ended.retain(|end| end.number > number);
--- a/crates/runner/src/session.rs
+++ b/crates/runner/src/session.rs
@@ -78,7 +78,7 @@
 
     /// True if the report is of this incarnation.
     pub fn is(&self, worker: &Worker) -> bool {
-        self.worker.is(&worker.incarnation())
+        self.worker.is_incarnation(&worker.incarnation())
     }
 
     /// Up to which number the next look tells that ends are recorded; 0 if it tells nothing.
--- a/crates/runner/tests/capacity.rs
+++ b/crates/runner/tests/capacity.rs
@@ -1,11 +1,11 @@
 //! Workers whose capacity shrinks and grows while they run.
 
-use quincewheel_job::{Need, Worker};
+use quincewheel_job::{Resources, Worker};
 use quincewheel_runner::{Beat, Output, Runner, Settings};
 use quincewheel_wire::{Notice, Order};
 
 fn worker(accelerators: u64) -> Worker {
-    let capacity = Need { cpu: 1000, memory: 1000, accelerators };
+    let capacity = Resources { cpu: 1000, memory: 1000, accelerators };
     Worker { id: "i1".into(), pool: "p".into(), capacity, ..Worker::default() }
 }
 
--- a/crates/runner/tests/evacuation.rs
+++ b/crates/runner/tests/evacuation.rs
@@ -27,7 +27,7 @@
 
 fn zones(names: &[&str]) -> Evacuation {
     let mut zones = Evacuation::default();
-    names.iter().for_each(|name| zones.begin(name));
+    names.iter().for_each(|name| zones.add(name));
     zones
 }
 
--- a/crates/runner/tests/starts.rs
+++ b/crates/runner/tests/starts.rs
@@ -1,7 +1,7 @@
 //! Starts that get no answer, come twice or come too late.
 
 use insta::assert_snapshot;
-use quincewheel_job::{End, Evacuation, How, Need, Run, Task, Worker};
+use quincewheel_job::{End, Evacuation, How, Resources, Run, Task, Worker};
 use quincewheel_runner::{Action, Beat, Call, Fault, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Notice, Order, Refused};
 
@@ -84,7 +84,7 @@
 }
 
 fn worker(draining: bool) -> Worker {
-    let capacity = Need { cpu: 64_000, memory: 262_144, accelerators: 8 };
+    let capacity = Resources { cpu: 64_000, memory: 262_144, accelerators: 8 };
     Worker { id: "i1".into(), pool: "p".into(), capacity, draining, ..Worker::default() }
 }
 
@@ -267,7 +267,7 @@
 fn a_start_that_comes_after_the_word_of_an_evacuation_is_refused() {
     let mut bed = Bed::open();
     let mut zones = Evacuation::default();
-    zones.begin("");
+    zones.add("");
     bed.order(Order::Evacuate { zones });
     bed.start(4);
     let evacuated = bed.told();
--- a/crates/runner/tests/world/mod.rs
+++ b/crates/runner/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use quincewheel_dispatch::{Output as Decision, Owner, Settings as Bounds};
-use quincewheel_job::{Evacuation, How, Job, Need, Progress, Queue, Run, Step, Task, Worker};
+use quincewheel_job::{Evacuation, How, Job, Progress, Queue, Resources, Run, Step, Task, Worker};
 use quincewheel_runner::{Beat, Call, Fault, Output, Runner, Settings};
 use quincewheel_wire::Order;
 
@@ -99,7 +99,7 @@
 
     /// True if the record says that the job has ended.
     pub fn has_ended(&self, name: &str) -> bool {
-        self.recorded.get(name).is_some_and(|progress| progress.state.ended())
+        self.recorded.get(name).is_some_and(|progress| progress.state.is_final())
     }
 
     /// A worker reports itself to its agent.
@@ -322,7 +322,7 @@
     Worker {
         id: format!("i{number}-{lives}"),
         pool: "p".into(),
-        capacity: Need { cpu: 64_000, memory: 262_144, accelerators: 8 },
+        capacity: Resources { cpu: 64_000, memory: 262_144, accelerators: 8 },
         rack: "r0".into(),
         ..Worker::default()
     }
@@ -339,7 +339,7 @@
 /// A job of one step with so many tasks of one accelerator.
 pub fn job(count: u32) -> Job {
     let queue = Queue { name: "q".into(), pool: "p".into(), attempts: 2, ..Queue::default() };
-    let need = Need { cpu: 1000, memory: 1000, accelerators: 1 };
+    let need = Resources { cpu: 1000, memory: 1000, accelerators: 1 };
     let step = Step { count, need, estimate: 1000, ..Step::default() };
     let spec = String::new();
     Job { team: "t".into(), queue, spec, steps: vec![step], schedule: None, accepted: BEGIN }
