--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -64,8 +64,10 @@
         let workers: BTreeSet<&Incarnation> =
             avoided.filter(|(_, until)| now < **until).map(|(worker, _)| worker).collect();
         let places = board.spots.iter().enumerate();
-        let avoided: Vec<usize> =
-            places.filter(|(_, spot)| workers.contains(&spot.worker)).map(|(at, _)| at).collect();
+        let avoided: Vec<usize> = places
+            .filter(|(_, spot)| workers.contains(&spot.incarnation))
+            .map(|(at, _)| at)
+            .collect();
         bound_avoided(avoided, board.spots.len())
     }
 }
--- a/crates/dispatch/src/board.rs
+++ b/crates/dispatch/src/board.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quincewheel_job::{Id, Resources};
-use quincewheel_place::{Hold, Holder, Spot};
+use quincewheel_place::{Preemptible, Protection, WorkerState};
 use quincewheel_policy::{Guarantees, loss};
 
 use crate::agent::Agent;
@@ -16,7 +16,7 @@
 /// Workers, what is free on them, and what could be taken away.
 pub(crate) struct Board {
     /// The workers that take work.
-    pub spots: Vec<Spot>,
+    pub spots: Vec<WorkerState>,
     /// What is truly free, reservations not taken away.
     pub actual: Vec<Resources>,
     /// The runs of each unit that stops as a whole.
@@ -48,12 +48,12 @@
 
 impl Board {
     /// Hides workers that a step is not cleared for.
-    pub fn hide(&mut self, places: &[usize]) -> Vec<(usize, Spot)> {
+    pub fn hide(&mut self, places: &[usize]) -> Vec<(usize, WorkerState)> {
         places.iter().map(|&place| (place, std::mem::take(&mut self.spots[place]))).collect()
     }
 
     /// Shows again what [`Board::hide`] took.
-    pub fn show(&mut self, hidden: Vec<(usize, Spot)>) {
+    pub fn show(&mut self, hidden: Vec<(usize, WorkerState)>) {
         for (place, spot) in hidden {
             self.spots[place] = spot;
         }
@@ -93,7 +93,7 @@
 impl Owner {
     /// The workers as they are.
     pub(crate) fn board(&self, now: u64) -> Board {
-        let mut spots: Vec<Spot> = Vec::new();
+        let mut spots: Vec<WorkerState> = Vec::new();
         let mut places: BTreeMap<&str, usize> = BTreeMap::new();
         for (name, agent) in &self.agents {
             let Some(worker) = agent.worker.as_ref().filter(|_| agent.open(&self.settings, now))
@@ -101,9 +101,9 @@
                 continue;
             };
             places.insert(name, spots.len());
-            spots.push(Spot {
+            spots.push(WorkerState {
                 name: name.clone(),
-                worker: worker.incarnation(),
+                incarnation: worker.incarnation(),
                 pool: worker.pool.clone(),
                 rack: worker.rack.clone(),
                 labels: worker.labels.clone(),
@@ -111,9 +111,9 @@
                 free: self.left_by_strays(agent, worker.capacity),
                 stopping: Resources::default(),
                 ending: Resources::default(),
-                doubtful: agent.doubted.max(agent.warm) > now
+                deprioritized: agent.doubted.max(agent.warm) > now
                     || agent.silent > self.settings.mute / 2,
-                holders: Vec::new(),
+                preemptible: Vec::new(),
             });
         }
         let borrowed = self.borrowed();
@@ -131,13 +131,13 @@
                     started.note(&mut fresh, place);
                 }
                 let hold = match entry.job.queue.priority {
-                    0 if !borrowed.contains(&placed.unit) => Hold::Guaranteed,
-                    0 => Hold::Borrowed,
-                    _ => Hold::Lower,
+                    0 if !borrowed.contains(&placed.unit) => Protection::Guaranteed,
+                    0 => Protection::Borrowed,
+                    _ => Protection::Lower,
                 };
                 // One that gave its guaranteed room up once does not again: all would begin, and
                 // none end.
-                let yields = hold != Hold::Guaranteed || (entry.begun && !entry.gave_way);
+                let yields = hold != Protection::Guaranteed || (entry.begun && !entry.gave_way);
                 let ending = !step.perpetual && entry.unit_ends(placed, &self.settings, now);
                 if ending {
                     spots[place].ending.add(&need);
@@ -147,7 +147,13 @@
                 } else if yields && self.may_yield(id, *key, &mut taken) {
                     let loss = loss(step, now.saturating_sub(placed.began));
                     let unit = placed.unit;
-                    spots[place].holders.push(Holder { unit, need, hold, loss, ending });
+                    spots[place].preemptible.push(Preemptible {
+                        unit,
+                        need,
+                        protection: hold,
+                        loss,
+                        ending,
+                    });
                 }
             }
         }
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use quincewheel_job::{Id, Incarnation, Resources, Step};
-use quincewheel_place::{Ask, Hold, Spot, pack};
+use quincewheel_place::{Protection, Request, WorkerState, pack};
 use quincewheel_policy::{APART, Guarantees, Rank, is_half_free, spare, unspare, weight};
 use quincewheel_wire::Order;
 
@@ -226,7 +226,7 @@
             return Vec::new();
         }
         let key = (candidate.occurrence, candidate.step, 0);
-        let cleared = |spot: &Spot| entry.ticket(key, &spot.worker, now).is_some();
+        let cleared = |spot: &WorkerState| entry.ticket(key, &spot.incarnation, now).is_some();
         let places = board.spots.iter().enumerate();
         places.filter(|(_, spot)| !cleared(spot)).map(|(place, _)| place).collect()
     }
@@ -246,7 +246,15 @@
         let count = candidate.tasks.len() as u32;
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
         let patient = wall < begin + PATIENCE;
-        let ask = Ask { step, pool, count, patient, over: Hold::Lower, sure: false, held: &held };
+        let ask = Request {
+            step,
+            pool,
+            count,
+            waits_for_rack: patient,
+            preempts: Protection::Lower,
+            ignores_ending: false,
+            tasks_by_worker: &held,
+        };
         let waits_until =
             self.waits_until(candidate, is_half_free(&board.spots, pool), (now, wall));
         let spared = waits_until.map(|_| spare(&mut board.spots, pool)).unwrap_or_default();
@@ -401,16 +409,21 @@
 /// The workers at these places that could run a step, those with the most room
 /// first.
 fn roomiest(places: &[usize], board: &Board, pool: &str, label: &String) -> Vec<Incarnation> {
-    let fits =
-        |spot: &&Spot| spot.pool == pool && (label.is_empty() || spot.labels.contains(label));
-    let mut spots: Vec<&Spot> =
+    let fits = |spot: &&WorkerState| {
+        spot.pool == pool && (label.is_empty() || spot.labels.contains(label))
+    };
+    let mut spots: Vec<&WorkerState> =
         places.iter().map(|&place| &board.spots[place]).filter(fits).collect();
     spots.sort_by_key(|spot| std::cmp::Reverse(spot.free.accelerators));
-    spots.into_iter().map(|spot| spot.worker.clone()).collect()
+    spots.into_iter().map(|spot| spot.incarnation.clone()).collect()
 }
 
 /// Tasks of the step that each worker has.
-pub(crate) fn held(entry: &Entry, (occurrence, step): (u32, u32), spots: &[Spot]) -> Vec<u32> {
+pub(crate) fn held(
+    entry: &Entry,
+    (occurrence, step): (u32, u32),
+    spots: &[WorkerState],
+) -> Vec<u32> {
     let range = (occurrence, step, 0)..=(occurrence, step, u32::MAX);
     let mut held = vec![0; spots.len()];
     for (_, placed) in entry.runs.range(range) {
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use quincewheel_job::Step;
-use quincewheel_place::{Ask, Hold, reclaim};
+use quincewheel_place::{Protection, Request, plan_preemption};
 use quincewheel_policy::{last_call, pays, promised};
 
 use crate::board::Board;
@@ -32,7 +32,7 @@
             .filter_map(|name| board.spots.iter().position(|spot| spot.name == *name))
             .collect();
         let cleared = |place: &usize| {
-            let worker = &board.spots[*place].worker;
+            let worker = &board.spots[*place].incarnation;
             let key = (candidate.occurrence, candidate.step, 0);
             entry.job.queue.advice.is_none() || entry.ticket(key, worker, now).is_some()
         };
@@ -61,7 +61,7 @@
         if !whole {
             let mut spots = board.spots.clone();
             let promised = places.iter().all(|&place| {
-                let fits = need.fits(&spots[place].near(false));
+                let fits = need.fits(&spots[place].available_soon(false));
                 spots[place].reserve(&need);
                 fits
             });
@@ -103,13 +103,21 @@
         let guaranteed = candidate.guaranteed();
         let due = guaranteed && wall >= promised;
         let count = rest.len() as u32;
-        let over = if due { Hold::Borrowed } else { Hold::Lower };
-        let ask = Ask { step, pool, count, patient: true, over, sure: guaranteed, held: &held };
+        let over = if due { Protection::Borrowed } else { Protection::Lower };
+        let ask = Request {
+            step,
+            pool,
+            count,
+            waits_for_rack: true,
+            preempts: over,
+            ignores_ending: guaranteed,
+            tasks_by_worker: &held,
+        };
         let last = last_call(begin, self.settings.reclaim, self.settings.stop);
-        let claim = reclaim(&board.spots, &ask).or_else(|| {
-            let others = Ask { over: Hold::Guaranteed, sure: false, ..ask };
+        let claim = plan_preemption(&board.spots, &ask).or_else(|| {
+            let others = Request { preempts: Protection::Guaranteed, ignores_ending: false, ..ask };
             let pressing = due && wall >= last && !entry.begun;
-            pressing.then(|| reclaim(&board.spots, &others)).flatten()
+            pressing.then(|| plan_preemption(&board.spots, &others)).flatten()
         });
         let Some(claim) = claim else {
             if guaranteed {
@@ -122,30 +130,32 @@
             return;
         }
         let need = step.resources();
-        let firm: BTreeSet<u64> = (board.spots.iter().flat_map(|spot| &spot.holders))
-            .filter(|holder| holder.hold == Hold::Guaranteed)
+        let firm: BTreeSet<u64> = (board.spots.iter().flat_map(|spot| &spot.preemptible))
+            .filter(|holder| holder.protection == Protection::Guaranteed)
             .map(|holder| holder.unit)
             .collect();
         for spot in &mut board.spots {
-            for holder in spot.holders.iter().filter(|holder| claim.units.contains(&holder.unit)) {
+            for holder in
+                spot.preemptible.iter().filter(|holder| claim.victims.contains(&holder.unit))
+            {
                 spot.stopping.add(&holder.need);
             }
-            spot.holders.retain(|holder| !claim.units.contains(&holder.unit));
+            spot.preemptible.retain(|holder| !claim.victims.contains(&holder.unit));
         }
-        for &place in &claim.choices {
+        for &place in &claim.workers {
             board.spots[place].reserve(&need);
         }
-        let agents = claim.choices.iter().map(|&place| board.spots[place].name.clone()).collect();
+        let agents = claim.workers.iter().map(|&place| board.spots[place].name.clone()).collect();
         let reservation = Reservation { agents, since: now };
         self.keep_until(now + self.settings.reservation);
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
             entry.reserved.insert((candidate.occurrence, candidate.step), reservation);
         }
         let kind = if guaranteed { "guaranteed" } else { "borrowed" };
-        let (units, loss, work) = (claim.units.len(), claim.loss / 1000, candidate.work / 1000);
+        let (units, loss, work) = (claim.victims.len(), claim.loss / 1000, candidate.work / 1000);
         let detail = format!("{kind}: {units} units stop, losing {loss} core-s for {work}");
         self.log("room reclaimed", &candidate.id, detail);
-        for unit in claim.units {
+        for unit in claim.victims {
             for (id, key) in board.units.get(&unit).cloned().unwrap_or_default() {
                 self.stop(&id, key, now);
                 let Some(entry) = self.jobs.get_mut(&id) else { continue };
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quincewheel_job::{Id, Step, Worker};
-use quincewheel_place::{Ask, Hold, Spot};
+use quincewheel_place::{Protection, Request, WorkerState};
 
 use crate::board::Board;
 use crate::candidate::Candidate;
@@ -64,7 +64,7 @@
         &self,
         (id, occurrence, number): &Group,
         tasks: usize,
-        spots: &[Spot],
+        spots: &[WorkerState],
         bars: &[Bar],
     ) -> Option<(Cause, (u64, u64))> {
         let entry = self.jobs.get(id)?;
@@ -75,7 +75,15 @@
             false => &[],
         };
         let count = tasks as u32;
-        let ask = Ask { step, pool, count, patient: true, over: Hold::Lower, sure: false, held };
+        let ask = Request {
+            step,
+            pool,
+            count,
+            waits_for_rack: true,
+            preempts: Protection::Lower,
+            ignores_ending: false,
+            tasks_by_worker: held,
+        };
         let tally = Tally::open(spots, bars, &ask);
         let unconfigured = entry.job.queue.priority == 0 && self.config.version == 0;
         let cause = match tally.cause() {
@@ -169,7 +177,7 @@
     }
 
     /// Why the open workers could not hold tasks if nothing ran.
-    fn closed(&self, ask: &Ask<'_>, tally: &Tally<'_>) -> Cause {
+    fn closed(&self, ask: &Request<'_>, tally: &Tally<'_>) -> Cause {
         let label = &ask.step.label;
         let pool = || {
             let known = self.agents.values().filter(|agent| agent.worker.is_some());
@@ -178,7 +186,7 @@
         let labelled = |worker: &&Worker| label.is_empty() || worker.labels.contains(label);
         let shut = pool().filter(|agent| !agent.open(&self.settings, self.now));
         let shut = shut.filter_map(|agent| agent.worker.as_ref()).filter(labelled);
-        let more = shut.map(|worker| ask.copies(usize::MAX, &worker.capacity)).sum();
+        let more = shut.map(|worker| ask.max_tasks(usize::MAX, &worker.capacity)).sum();
         if pool().next().is_none() {
             return Cause::Pool;
         }
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use quincewheel_place::{Ask, Spot};
+use quincewheel_place::{Request, WorkerState};
 
 use crate::wait::Cause;
 
@@ -44,7 +44,7 @@
     /// Counts in one pass over the workers; `bars` has one for each of them,
     /// or none at all if nothing is barred and all that fits was started: then
     /// nothing fits of a step that is no gang, and a few workers tell the rest.
-    pub fn open(spots: &'a [Spot], bars: &[Bar], ask: &Ask<'_>) -> Tally<'a> {
+    pub fn open(spots: &'a [WorkerState], bars: &[Bar], ask: &Request<'_>) -> Tally<'a> {
         let mut tally = Tally {
             count: u64::from(ask.count),
             gang: ask.step.gang,
@@ -52,16 +52,16 @@
             ..Tally::default()
         };
         let need = ask.step.resources();
-        for (place, spot) in spots.iter().enumerate().filter(|(_, spot)| ask.allows(spot)) {
+        for (place, spot) in spots.iter().enumerate().filter(|(_, spot)| ask.is_eligible(spot)) {
             // Most places of a full pool hold nothing more, and the first few workers
             // would hold all if they were empty: divisions are left out there.
             let fits = need.fits(&spot.free);
-            let free = if fits { ask.copies(place, &spot.free) } else { 0 };
+            let free = if fits { ask.max_tasks(place, &spot.free) } else { 0 };
             let known = !tally.same_rack && tally.all.whole >= tally.count;
             if known && bars.is_empty() && !tally.gang {
                 break;
             }
-            let whole = if known { 0 } else { ask.copies(place, &spot.capacity) };
+            let whole = if known { 0 } else { ask.max_tasks(place, &spot.capacity) };
             let bar = bars.get(place).copied().unwrap_or(Bar::Open);
             tally.all.add(bar, free, whole);
             if tally.same_rack {
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -6,14 +6,14 @@
 //! because scattered small tasks starve the gangs that need many accelerators
 //! side by side.
 
-mod ask;
-mod hold;
 mod pack;
-mod reclaim;
-mod spot;
+mod preemption;
+mod protection;
+mod request;
+mod worker_state;
 
-pub use ask::Ask;
-pub use hold::Hold;
-pub use pack::{Choice, pack};
-pub use reclaim::{Claim, reclaim};
-pub use spot::{Holder, Spot};
+pub use pack::{WorkerIndex, pack};
+pub use preemption::{Preemption, plan_preemption};
+pub use protection::Protection;
+pub use request::Request;
+pub use worker_state::{Preemptible, WorkerState};
--- /dev/null
+++ b/crates/place/src/preemption.rs
@@ -0,0 +1,127 @@
+use std::collections::{BTreeMap, BTreeSet};
+
+use quincewheel_job::Resources;
+
+use crate::pack::{WorkerIndex, eligible_racks, fits_when_empty};
+use crate::request::Request;
+use crate::worker_state::{Preemptible, WorkerState};
+
+/// Room that is made by taking work away.
+#[derive(Clone, Debug, Default, Eq, PartialEq)]
+pub struct Preemption {
+    /// A place for each task.
+    pub workers: Vec<WorkerIndex>,
+    /// The units to stop.
+    pub victims: BTreeSet<u64>,
+    /// What that loses, in the unit of [`crate::Holder::loss`].
+    pub loss: u64,
+}
+
+/// Finds the cheapest work whose end makes room for all tasks of a step. None
+/// if nothing that may be taken away makes enough.
+///
+/// Each rack is tried by itself, and all together for a step that needs no
+/// rack of its own; what loses least wins.
+pub fn plan_preemption(workers: &[WorkerState], request: &Request<'_>) -> Option<Preemption> {
+    let eligible_racks = eligible_racks(workers, request);
+    let one_rack = request.step.gang && request.step.same_rack && request.count > 1;
+    let mut tries = Vec::new();
+    for rack in &eligible_racks {
+        tries.extend(attempt(workers, request, |worker| worker.rack == **rack));
+    }
+    if !one_rack || !eligible_racks.iter().any(|rack| fits_when_empty(workers, request, rack)) {
+        tries.extend(attempt(workers, request, |_| true));
+    }
+    tries.into_iter().min_by_key(|preemption| preemption.loss)
+}
+
+/// Places the tasks within the allowed workers, cheapest first, and says what
+/// that loses.
+fn attempt(
+    workers: &[WorkerState],
+    request: &Request<'_>,
+    allowed: impl Fn(&WorkerState) -> bool,
+) -> Option<Preemption> {
+    let need = request.step.resources();
+    let mut stopped: BTreeSet<u64> = BTreeSet::new();
+    let mut rooms: Vec<Resources> =
+        workers.iter().map(|worker| worker.available_soon(request.ignores_ending)).collect();
+    let mut preemption = Preemption::default();
+    let mut counts = vec![0u32; workers.len()];
+    let mut loss = 0;
+    for _ in 0..request.count {
+        let open = |index: usize| {
+            let held = request.tasks_by_worker.get(index).copied().unwrap_or(0) + counts[index];
+            allowed(&workers[index])
+                && request.is_eligible(&workers[index])
+                && (request.step.per_worker == 0 || held < request.step.per_worker)
+        };
+        let best = (0..workers.len())
+            .filter(|&index| open(index))
+            .filter_map(|index| {
+                let (units, cost) = clear(&workers[index], &rooms[index], request, &stopped)?;
+                let rank = (workers[index].deprioritized, cost, rooms[index].accelerators, index);
+                Some((rank, units))
+            })
+            .min_by_key(|(rank, _)| *rank);
+        let ((_, cost, _, index), units) = best?;
+        loss += cost;
+        for unit in units {
+            release(workers, &mut rooms, unit);
+            stopped.insert(unit);
+        }
+        rooms[index].subtract(&need);
+        counts[index] += 1;
+        preemption.workers.push(index);
+    }
+    preemption.victims = stopped;
+    preemption.loss = loss;
+    Some(preemption)
+}
+
+/// The units to stop on one worker so that a task fits, and what they lose.
+fn clear(
+    worker: &WorkerState,
+    room: &Resources,
+    request: &Request<'_>,
+    stopped: &BTreeSet<u64>,
+) -> Option<(Vec<u64>, u64)> {
+    let need = request.step.resources();
+    let mut room = *room;
+    let mut chosen: BTreeMap<u64, (Resources, u64)> = BTreeMap::new();
+    let mut units: BTreeMap<u64, (Resources, u64)> = BTreeMap::new();
+    let open =
+        |holder: &&Preemptible| !stopped.contains(&holder.unit) && request.may_preempt(holder);
+    for holder in worker.preemptible.iter().filter(open) {
+        units.entry(holder.unit).or_insert((Resources::default(), holder.loss)).0.add(&holder.need);
+    }
+    while !need.fits(&room) {
+        // The cheapest for each accelerator that it frees.
+        let useful = units.iter().filter(|(unit, _)| !chosen.contains_key(unit));
+        let (&unit, &(frees, loss)) =
+            useful.min_by_key(|(_, (frees, loss))| loss / (frees.accelerators + 1))?;
+        room.add(&frees);
+        chosen.insert(unit, (frees, loss));
+    }
+    // What turned out not to be needed stays.
+    let order: Vec<u64> = chosen.keys().copied().collect();
+    for unit in order {
+        let mut without = room;
+        without.subtract(&chosen[&unit].0);
+        if need.fits(&without) {
+            room = without;
+            chosen.remove(&unit);
+        }
+    }
+    let loss = chosen.values().map(|(_, loss)| loss).sum();
+    Some((chosen.into_keys().collect(), loss))
+}
+
+/// Frees all places of a unit, on every worker.
+fn release(workers: &[WorkerState], rooms: &mut [Resources], unit: u64) {
+    for (worker, room) in workers.iter().zip(rooms) {
+        for holder in worker.preemptible.iter().filter(|holder| holder.unit == unit) {
+            room.add(&holder.need);
+        }
+    }
+}
--- a/crates/place/src/hold.rs
+++ b/crates/place/src/protection.rs
@@ -1,6 +1,6 @@
 /// How firmly work holds its room: what it gives way to.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Hold {
+pub enum Protection {
     /// Of a lower priority: it gives way to all that may take room.
     #[default]
     Lower,
--- a/crates/place/tests/packing.rs
+++ b/crates/place/tests/packing.rs
@@ -2,18 +2,18 @@
 
 use insta::assert_snapshot;
 use quincewheel_job::{Resources, Step};
-use quincewheel_place::{Ask, Hold, Holder, Spot, pack, reclaim};
+use quincewheel_place::{Preemptible, Protection, Request, WorkerState, pack, plan_preemption};
 
 /// Workers with so many accelerators free each.
-fn pool(free: [u64; 6]) -> Vec<Spot> {
-    let spot = |(number, free): (usize, u64)| Spot {
+fn pool(free: [u64; 6]) -> Vec<WorkerState> {
+    let spot = |(number, free): (usize, u64)| WorkerState {
         name: format!("w{number}"),
         pool: "p".into(),
         rack: format!("r{}", number / 2),
         labels: vec![if number == 5 { "b" } else { "a" }.into()],
         capacity: need(8),
         free: need(free),
-        ..Spot::default()
+        ..WorkerState::default()
     };
     free.into_iter().enumerate().map(spot).collect()
 }
@@ -30,15 +30,15 @@
     Step { gang: true, same_rack: true, ..step(count, accelerators) }
 }
 
-fn packed(spots: &[Spot], step: &Step) -> String {
-    let ask = Ask {
+fn packed(spots: &[WorkerState], step: &Step) -> String {
+    let ask = Request {
         step,
         pool: "p",
         count: step.count,
-        patient: true,
-        over: Hold::Borrowed,
-        sure: true,
-        held: &[],
+        waits_for_rack: true,
+        preempts: Protection::Borrowed,
+        ignores_ending: true,
+        tasks_by_worker: &[],
     };
     format!("{:?}", pack(spots, &ask))
 }
@@ -76,14 +76,14 @@
     let (half, less) = ([7, 3, 7, 3, 7, 3], [4, 3, 4, 3, 4, 3]);
     let told = [(half, true), (half, false), (less, false)].map(|(free, patient)| {
         let spots = pool(free);
-        let ask = Ask {
+        let ask = Request {
             step: &step,
             pool: "p",
             count: 3,
-            patient,
-            over: Hold::Lower,
-            sure: false,
-            held: &[],
+            waits_for_rack: patient,
+            preempts: Protection::Lower,
+            ignores_ending: false,
+            tasks_by_worker: &[],
         };
         format!("{:?}", pack(&spots, &ask))
     });
@@ -114,35 +114,35 @@
 #[test]
 fn a_doubtful_worker_is_the_last_choice() {
     let mut spots = pool([2, 8, 0, 0, 0, 0]);
-    spots[0].doubtful = true;
+    spots[0].deprioritized = true;
     assert_snapshot!(packed(&spots, &step(1, 1)), @"[1]");
 }
 
 #[test]
 fn room_is_made_where_least_is_lost_and_no_victim_stops_in_vain() {
     let mut spots = pool([0, 0, 4, 0, 0, 0]);
-    let holder = |unit, accelerators, loss| Holder {
+    let holder = |unit, accelerators, loss| Preemptible {
         unit,
         need: need(accelerators),
-        hold: Hold::Lower,
+        protection: Protection::Lower,
         loss,
         ending: false,
     };
-    spots[0].holders = vec![holder(1, 8, 900)];
-    spots[1].holders = vec![holder(2, 4, 50), holder(3, 4, 60), holder(4, 1, 1)];
-    spots[2].holders = vec![holder(5, 4, 500)];
+    spots[0].preemptible = vec![holder(1, 8, 900)];
+    spots[1].preemptible = vec![holder(2, 4, 50), holder(3, 4, 60), holder(4, 1, 1)];
+    spots[2].preemptible = vec![holder(5, 4, 500)];
     let ask = |step: &Step| {
-        let ask = Ask {
+        let ask = Request {
             step,
             pool: "p",
             count: step.count,
-            patient: true,
-            over: Hold::Borrowed,
-            sure: true,
-            held: &[],
+            waits_for_rack: true,
+            preempts: Protection::Borrowed,
+            ignores_ending: true,
+            tasks_by_worker: &[],
         };
-        let claim = reclaim(&spots, &ask);
-        claim.map_or("none".to_owned(), |c| format!("{:?} {:?} {}", c.choices, c.units, c.loss))
+        let claim = plan_preemption(&spots, &ask);
+        claim.map_or("none".to_owned(), |c| format!("{:?} {:?} {}", c.workers, c.victims, c.loss))
     };
     let told = [ask(&step(1, 8)), ask(&step(1, 4)), ask(&gang(2, 8)), ask(&gang(4, 8))];
     assert_snapshot!(told.join("\n"), @r"
@@ -159,24 +159,29 @@
 #[test]
 fn work_that_ends_by_itself_is_waited_for_but_not_where_room_is_promised() {
     let mut spots = pool([0, 0, 0, 0, 0, 0]);
-    let holder =
-        |unit, loss, ending| Holder { unit, need: need(8), loss, ending, ..Holder::default() };
-    spots[1].holders.push(holder(1, 100, false));
-    spots[2].holders.push(holder(2, 50, true));
+    let holder = |unit, loss, ending| Preemptible {
+        unit,
+        need: need(8),
+        loss,
+        ending,
+        ..Preemptible::default()
+    };
+    spots[1].preemptible.push(holder(1, 100, false));
+    spots[2].preemptible.push(holder(2, 50, true));
     spots[2].ending = need(8);
     let step = step(1, 8);
     let told = [false, true].map(|sure| {
-        let ask = Ask {
+        let ask = Request {
             step: &step,
             pool: "p",
             count: 1,
-            patient: true,
-            over: Hold::Borrowed,
-            sure,
-            held: &[],
+            waits_for_rack: true,
+            preempts: Protection::Borrowed,
+            ignores_ending: sure,
+            tasks_by_worker: &[],
         };
-        let claim = reclaim(&spots, &ask).unwrap_or_default();
-        format!("sure {sure}: at {:?}, stopping {:?}", claim.choices, claim.units)
+        let claim = plan_preemption(&spots, &ask).unwrap_or_default();
+        format!("sure {sure}: at {:?}, stopping {:?}", claim.workers, claim.victims)
     });
     assert_snapshot!(told.join("\n"), @r"
     sure false: at [2], stopping {}
@@ -190,16 +195,16 @@
     spots[3].stopping = need(8);
     spots[3].reserve(&need(8));
     let step = step(1, 8);
-    let ask = Ask {
+    let ask = Request {
         step: &step,
         pool: "p",
         count: 1,
-        patient: true,
-        over: Hold::Borrowed,
-        sure: true,
-        held: &[],
+        waits_for_rack: true,
+        preempts: Protection::Borrowed,
+        ignores_ending: true,
+        tasks_by_worker: &[],
     };
-    assert_snapshot!(format!("{:?}", reclaim(&spots, &ask)), @"None");
+    assert_snapshot!(format!("{:?}", plan_preemption(&spots, &ask)), @"None");
 }
 
 // Pattern: what is left of a pool holds less than its teams are guaranteed. Each kind of work gives way
@@ -207,16 +212,29 @@
 #[test]
 fn work_gives_way_by_how_firmly_it_holds_its_room() {
     let mut spots = pool([0, 0, 0, 0, 0, 0]);
-    let holds = [Hold::Guaranteed, Hold::Borrowed, Hold::Lower];
+    let holds = [Protection::Guaranteed, Protection::Borrowed, Protection::Lower];
     for ((place, hold), loss) in holds.into_iter().enumerate().zip([1, 50, 900]) {
-        let holder = Holder { unit: place as u64, need: need(8), hold, loss, ending: false };
-        spots[place].holders.push(holder);
+        let holder = Preemptible {
+            unit: place as u64,
+            need: need(8),
+            protection: hold,
+            loss,
+            ending: false,
+        };
+        spots[place].preemptible.push(holder);
     }
     let step = step(1, 8);
-    let told = [Hold::Lower, Hold::Borrowed, Hold::Guaranteed].map(|over| {
-        let ask =
-            Ask { step: &step, pool: "p", count: 1, patient: true, over, sure: true, held: &[] };
-        format!("{over:?}: stops {:?}", reclaim(&spots, &ask).unwrap_or_default().units)
+    let told = [Protection::Lower, Protection::Borrowed, Protection::Guaranteed].map(|over| {
+        let ask = Request {
+            step: &step,
+            pool: "p",
+            count: 1,
+            waits_for_rack: true,
+            preempts: over,
+            ignores_ending: true,
+            tasks_by_worker: &[],
+        };
+        format!("{over:?}: stops {:?}", plan_preemption(&spots, &ask).unwrap_or_default().victims)
     });
     assert_snapshot!(told.join("\n"), @r"
     Lower: stops {2}
--- a/crates/policy/src/spare.rs
+++ b/crates/policy/src/spare.rs
@@ -1,7 +1,7 @@
 //! Whole workers that are kept for work that cannot wait.
 
 use quincewheel_job::Resources;
-use quincewheel_place::Spot;
+use quincewheel_place::WorkerState;
 
 /// Whole workers of a pool that are kept for work that cannot wait, in percent
 /// of the pool, as long as they are free. Mean worth of eight seeds of each day
@@ -16,7 +16,7 @@
 /// Urgent gangs come at any moment, want whole workers of one rack, and have
 /// less time than a stop takes. Where work that has many seconds left takes
 /// the last such workers, each urgent gang stops some of it.
-pub fn spare(spots: &mut [Spot], pool: &str) -> Vec<(usize, Resources)> {
+pub fn spare(spots: &mut [WorkerState], pool: &str) -> Vec<(usize, Resources)> {
     let all = spots.iter().filter(|spot| spot.pool == pool).count();
     let mut free: Vec<usize> = (0..spots.len())
         .filter(|&place| {
@@ -37,7 +37,7 @@
 }
 
 /// Shows again what [`spare`] took, and returns where.
-pub fn unspare(spots: &mut [Spot], spared: Vec<(usize, Resources)>) -> Vec<usize> {
+pub fn unspare(spots: &mut [WorkerState], spared: Vec<(usize, Resources)>) -> Vec<usize> {
     let show = |(place, free): (usize, Resources)| {
         spots[place].free = free;
         place
@@ -47,7 +47,7 @@
 
 /// True if half of the pool is free by any measure: of accelerators,
 /// processors or memory.
-pub fn is_half_free(spots: &[Spot], pool: &str) -> bool {
+pub fn is_half_free(spots: &[WorkerState], pool: &str) -> bool {
     let mut all = Resources::default();
     let mut free = Resources::default();
     for spot in spots.iter().filter(|spot| spot.pool == pool) {
--- a/crates/policy/tests/rooms.rs
+++ b/crates/policy/tests/rooms.rs
@@ -2,7 +2,7 @@
 
 use insta::assert_snapshot;
 use quincewheel_job::{Resources, Step};
-use quincewheel_place::Spot;
+use quincewheel_place::WorkerState;
 use quincewheel_policy::{
     Guarantees, is_half_free, loss, pays, promised, spare, unspare, waves, weight,
 };
@@ -12,14 +12,14 @@
     Step { count, need, ..Step::default() }
 }
 
-fn spot(rack: &str, free: u64) -> Spot {
+fn spot(rack: &str, free: u64) -> WorkerState {
     let need = |accelerators| Resources { cpu: 64_000, memory: 1, accelerators };
-    Spot {
+    WorkerState {
         pool: "p".into(),
         rack: rack.into(),
         capacity: need(8),
         free: need(free),
-        ..Spot::default()
+        ..WorkerState::default()
     }
 }
 
@@ -30,7 +30,7 @@
 fn whole_workers_are_kept_the_fullest_racks_first() {
     let racks = ["a", "a", "a", "b", "b", "b", "c", "c", "c", "d", "d"];
     let free = [8, 8, 0, 8, 8, 8, 8, 3, 0, 8, 0];
-    let mut spots: Vec<Spot> =
+    let mut spots: Vec<WorkerState> =
         racks.iter().zip(free).map(|(rack, free)| spot(rack, free)).collect();
     let kept = spare(&mut spots, "p");
     let left: Vec<u64> = spots.iter().map(|spot| spot.free.accelerators).collect();
