--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -1,5 +1,5 @@
 use quincewheel_job::{Task, Worker};
-use quincewheel_policy::Blame;
+use quincewheel_policy::Quarantine;
 use quincewheel_wire::LinkId;
 
 use crate::lack::Lack;
@@ -36,7 +36,7 @@
     /// connection, or it took none, or it owes an answer; none while something does.
     pub missed: Option<u64>,
     /// What speaks against its worker.
-    pub blame: Blame,
+    pub blame: Quarantine,
     /// Starts just after which the worker broke its connections, if it has not answered
     /// since: if it is gone, one of them has crashed it.
     pub crash: Option<Crash>,
--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use quincewheel_job::{Incarnation, Task};
-use quincewheel_policy::{AVOIDED, bound_avoided, most_closed};
+use quincewheel_policy::{AVOIDANCE_MS, limit_avoided, max_quarantined};
 
 use crate::board::Board;
 use crate::candidate::Candidate;
@@ -17,15 +17,15 @@
             && let Some(worker) = self.agents.get(name).and_then(|agent| agent.worker.as_ref())
         {
             let slot = entry.key(key(task));
-            let until = now + AVOIDED;
+            let until = now + AVOIDANCE_MS;
             entry.avoided.entry(slot).or_default().insert(worker.incarnation(), until);
             self.avoiding = Some(self.avoiding.map_or(until, |at| at.min(until)));
         }
         let closed = self.agents.values().filter(|agent| now < agent.blame.until).count();
-        let most = most_closed(self.agents.len());
+        let most = max_quarantined(self.agents.len());
         let Some(agent) = self.agents.get_mut(name) else { return };
-        if agent.blame.note(&task.job) && closed < most {
-            let ms = agent.blame.close(now);
+        if agent.blame.record_failure(&task.job) && closed < most {
+            let ms = agent.blame.begin(now);
             self.log("worker closed", name, format!("for {ms} ms: all that it starts fails"));
         }
     }
@@ -68,6 +68,6 @@
             .filter(|(_, spot)| workers.contains(&spot.incarnation))
             .map(|(at, _)| at)
             .collect();
-        bound_avoided(avoided, board.spots.len())
+        limit_avoided(avoided, board.spots.len())
     }
 }
--- a/crates/dispatch/src/board.rs
+++ b/crates/dispatch/src/board.rs
@@ -4,7 +4,7 @@
 
 use quincewheel_job::{Id, Resources};
 use quincewheel_place::{Preemptible, Protection, WorkerState};
-use quincewheel_policy::{Guarantees, loss};
+use quincewheel_policy::{Guarantees, preemption_loss};
 
 use crate::agent::Agent;
 use crate::entry::{Key, Phase};
@@ -145,7 +145,7 @@
                 if placed.phase == Phase::Stopping {
                     spots[place].stopping.add(&need);
                 } else if yields && self.may_yield(id, *key, &mut taken) {
-                    let loss = loss(step, now.saturating_sub(placed.began));
+                    let loss = preemption_loss(step, now.saturating_sub(placed.began));
                     let unit = placed.unit;
                     spots[place].preemptible.push(Preemptible {
                         unit,
@@ -198,12 +198,12 @@
             }
         }
         let units = units.into_iter().map(|(unit, (team, need))| (unit, team, need));
-        self.guarantees().borrowed(units)
+        self.guarantees().borrowed_units(units)
     }
 
     /// What teams are guaranteed, of which nothing is taken.
     pub(crate) fn guarantees(&self) -> Guarantees<impl Fn(&str) -> u64> {
         let teams = &self.config.teams;
-        Guarantees::open(|team: &str| teams.get(team).map_or(0, |team| team.guaranteed))
+        Guarantees::new(|team: &str| teams.get(team).map_or(0, |team| team.guaranteed))
     }
 }
--- a/crates/dispatch/src/guide.rs
+++ b/crates/dispatch/src/guide.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 
 use quincewheel_job::{Resources, Step};
-use quincewheel_policy::{Goal, waves};
+use quincewheel_policy::{Objective, rounds};
 
 use crate::entry::Entry;
 use crate::times::Times;
@@ -16,18 +16,18 @@
 
 impl Guide<'_> {
     /// The goal of an occurrence of a job.
-    pub fn goal(&self, entry: &Entry, occurrence: u32) -> Goal {
+    pub fn goal(&self, entry: &Entry, occurrence: u32) -> Objective {
         let job = &entry.job;
         let begin = job.schedule.map_or(job.accepted, |schedule| schedule.due(occurrence));
         if job.is_perpetual() {
-            return Goal::lasting(begin);
+            return Objective::perpetual(begin);
         }
         let whole = job.critical_path_by(|number, step| self.expect(entry, number, step));
         let left = job.critical_path_by(|number, step| {
             let done = entry.progress.is_step_done(occurrence, number, step);
             if done { 0 } else { self.expect(entry, number, step) }
         });
-        Goal::open(begin, (whole, left), job.queue.stretch, job.queue.slack)
+        Objective::new(begin, (whole, left), job.queue.stretch, job.queue.slack)
     }
 
     /// How long a step of the job is expected to take, in milliseconds.
@@ -35,6 +35,6 @@
         let queue = &entry.job.queue;
         let known = entry.took.get(&number).copied();
         let time = known.unwrap_or_else(|| self.times.expect(&queue.name, step.estimate));
-        time * waves(step, self.pools.get(&queue.pool))
+        time * rounds(step, self.pools.get(&queue.pool))
     }
 }
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -385,7 +385,7 @@
         let detail = match entry.job.schedule {
             Some(_) => format!("{state:?}, scheduled"),
             None => {
-                let objective = guide.goal(entry, 0).objective();
+                let objective = guide.goal(entry, 0).duration_ms();
                 format!("{state:?}, objective {objective} ms")
             }
         };
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/pace.rs
@@ -50,5 +50,5 @@
 /// is through waits for the others, which is no standstill.
 fn stands_still(step: &Step, placed: &Placed, moved: u64, now: u64) -> bool {
     let still = now.saturating_sub(moved);
-    placed.phase == Phase::Running && !step.perpetual && policy::stands_still(step.estimate, still)
+    placed.phase == Phase::Running && !step.perpetual && policy::is_stalled(step.estimate, still)
 }
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -4,7 +4,10 @@
 
 use quincewheel_job::{Id, Incarnation, Resources, Step};
 use quincewheel_place::{Protection, Request, WorkerState, pack};
-use quincewheel_policy::{APART, Guarantees, Rank, is_half_free, spare, unspare, weight};
+use quincewheel_policy::{
+    Guarantees, Rank, START_ISOLATION_MS, core_weight, is_half_free, release_whole_workers,
+    reserve_whole_workers,
+};
 use quincewheel_wire::Order;
 
 use crate::board::{Barred, Board};
@@ -34,7 +37,7 @@
         }
         // What waits for a suspect to outlive its start is decided by time alone.
         if board.fresh.values().any(|fresh| *fresh == Fresh::Suspect) {
-            self.look_again(wall + APART);
+            self.look_again(wall + START_ISOLATION_MS);
         }
         self.note_held_back(now, wall);
         self.tell_waited(now);
@@ -77,15 +80,15 @@
                         // would take the room back that was made for them.
                         let covered = entry.job.queue.priority == 0
                             && !entry.gave_way
-                            && guarantees.cover(&entry.job.team, need);
+                            && guarantees.try_use(&entry.job.team, need);
                         let rank = Rank {
                             borrowed: !covered,
                             priority: entry.job.queue.priority,
-                            hope: goal.hope(wall),
-                            latest: goal.latest(),
+                            lateness: goal.lateness(wall),
+                            latest_start: goal.latest_start(),
                             version: entry.version,
                         };
-                        let work = weight(step) * guide.expect(entry, number, step);
+                        let work = core_weight(step) * guide.expect(entry, number, step);
                         found.push(Candidate::open(id, (occurrence, number), group, rank, work));
                     }
                 }
@@ -152,7 +155,7 @@
         for entry in self.jobs.values().filter(|entry| entry.job.queue.priority == 0) {
             for key in entry.runs.keys() {
                 let need = entry.step(*key).map_or(0, |step| step.need.accelerators);
-                guarantees.hold(&entry.job.team, need);
+                guarantees.record_use(&entry.job.team, need);
             }
         }
         guarantees
@@ -188,7 +191,7 @@
             return;
         }
         if !barred.apart.is_empty() {
-            self.look_again(wall + APART);
+            self.look_again(wall + START_ISOLATION_MS);
         }
         if !barred.uncleared.is_empty() {
             self.ask(candidate, roomiest(&barred.uncleared, board, &pool, &step.label), now);
@@ -257,9 +260,10 @@
         };
         let waits_until =
             self.waits_until(candidate, is_half_free(&board.spots, pool), (now, wall));
-        let spared = waits_until.map(|_| spare(&mut board.spots, pool)).unwrap_or_default();
+        let spared =
+            waits_until.map(|_| reserve_whole_workers(&mut board.spots, pool)).unwrap_or_default();
         let choices = pack(&board.spots, &ask);
-        let spared = unspare(&mut board.spots, spared);
+        let spared = release_whole_workers(&mut board.spots, spared);
         let started = choices.len();
         if started < candidate.tasks.len() {
             // Time alone gives it places that it leaves to others now.
@@ -272,7 +276,7 @@
             candidate.tasks.iter().copied().zip(choices.iter().copied()).collect();
         self.start(candidate, step, &pairs, board, now);
         // Nobody gives way to what may crash the worker that is cleared for it.
-        let takes = candidate.rank.takes_room() && !candidate.suspect;
+        let takes = candidate.rank.may_preempt() && !candidate.suspect;
         if takes && started < candidate.tasks.len() {
             self.make_room(candidate, step, pool, started, board, (now, wall));
         }
@@ -292,7 +296,7 @@
         half_free: bool,
         (now, wall): (u64, u64),
     ) -> Option<u64> {
-        let until = candidate.rank.waits_until().filter(|&until| until > wall)?;
+        let until = candidate.rank.yields_workers_until().filter(|&until| until > wall)?;
         let idle = self.jobs.get(&candidate.id).and_then(|entry| entry.idle);
         match idle.filter(|_| half_free) {
             Some(since) if now >= since + IDLE => None,
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -38,7 +38,7 @@
             agent.seen = 0;
             agent.failures = 0;
             agent.doubted = 0;
-            agent.blame.clear();
+            agent.blame.reset();
             agent.refusals = Refusals::default();
             agent.doomed = false;
         }
@@ -343,7 +343,7 @@
         if let Some(agent) = self.agents.get_mut(name) {
             agent.failures = 0;
             agent.doubted = 0;
-            agent.blame.clear();
+            agent.blame.reset();
         }
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let before = entry.progress.state;
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -4,7 +4,7 @@
 
 use quincewheel_job::Step;
 use quincewheel_place::{Protection, Request, plan_preemption};
-use quincewheel_policy::{last_call, pays, promised};
+use quincewheel_policy::{borrowed_reclaim_at, guaranteed_reclaim_at, is_worth_preempting};
 
 use crate::board::Board;
 use crate::candidate::Candidate;
@@ -99,7 +99,7 @@
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let held = held(entry, (candidate.occurrence, candidate.step), &board.spots);
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
-        let promised = promised(begin, self.settings.reclaim, self.settings.stop);
+        let promised = borrowed_reclaim_at(begin, self.settings.reclaim, self.settings.stop);
         let guaranteed = candidate.guaranteed();
         let due = guaranteed && wall >= promised;
         let count = rest.len() as u32;
@@ -113,7 +113,7 @@
             ignores_ending: guaranteed,
             tasks_by_worker: &held,
         };
-        let last = last_call(begin, self.settings.reclaim, self.settings.stop);
+        let last = guaranteed_reclaim_at(begin, self.settings.reclaim, self.settings.stop);
         let claim = plan_preemption(&board.spots, &ask).or_else(|| {
             let others = Request { preempts: Protection::Guaranteed, ignores_ending: false, ..ask };
             let pressing = due && wall >= last && !entry.begun;
@@ -126,7 +126,7 @@
             }
             return;
         };
-        if !pays(claim.loss, candidate.work, guaranteed) {
+        if !is_worth_preempting(claim.loss, candidate.work, guaranteed) {
             return;
         }
         let need = step.resources();
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quincewheel_job::{Incarnation, Run, State, Step, Task};
-use quincewheel_policy::{APART, CRASHES};
+use quincewheel_policy::{CRASH_LIMIT, START_ISOLATION_MS};
 use quincewheel_wire::list_starts;
 
 use crate::board::Board;
@@ -101,11 +101,11 @@
         entry.unrecorded = true;
         entry.reserved.remove(&(task.occurrence, task.step));
         let detail = format!(
-            "{task} run {run} at {name}, one of {among} just started there: {crashes} of {CRASHES}"
+            "{task} run {run} at {name}, one of {among} just started there: {crashes} of {CRASH_LIMIT}"
         );
         self.log("crash suspected", &task.job, detail);
         self.touch(&task.job, true);
-        if crashes >= CRASHES {
+        if crashes >= CRASH_LIMIT {
             self.end_job(&task.job, State::Failed, self.now);
         }
     }
@@ -140,7 +140,7 @@
             // An agent's clock begins anew with its machine.
             let first = placed.listed.map_or(stamp, |first| first.min(stamp));
             placed.listed = Some(first);
-            placed.outlived = stamp >= first + APART;
+            placed.outlived = stamp >= first + START_ISOLATION_MS;
             if placed.outlived && entry.gang_outlived(key(&run.task)) {
                 self.outlived(&run.task);
             }
@@ -219,7 +219,7 @@
 
     /// Which it is, if the run has just started.
     pub fn of(id: &str, entry: &Entry, key: Key, placed: &Placed, now: u64) -> Option<Fresh> {
-        if placed.outlived || now >= placed.confirmed.unwrap_or(now) + APART {
+        if placed.outlived || now >= placed.confirmed.unwrap_or(now) + START_ISOLATION_MS {
             return None;
         }
         Some(if entry.crashes(id, key) > 0 { Fresh::Suspect } else { Fresh::Any })
--- a/crates/dispatch/src/throttle.rs
+++ b/crates/dispatch/src/throttle.rs
@@ -6,7 +6,7 @@
 //! work follows that figure.
 
 use quincewheel_job::Run;
-use quincewheel_policy::share;
+use quincewheel_policy::next_pace;
 use quincewheel_wire::Order;
 
 use crate::entry::{Key, Phase};
@@ -25,7 +25,7 @@
             let Some(placed) = entry.runs.get_mut(&key(&run.task)).filter(|_| fills) else {
                 continue;
             };
-            let percent = share(placed.pace, load);
+            let percent = next_pace(placed.pace, load);
             if placed.phase != Phase::Stopping && (percent != placed.pace || load >= 100) {
                 placed.pace = percent;
                 orders.push((placed.worker.clone(), run.task.clone(), placed.run, percent));
--- a/crates/policy/src/crash.rs
+++ b/crates/policy/src/crash.rs
@@ -13,8 +13,8 @@
 /// Workers in a row that crash just after starts of a task before it is given up. The first may
 /// be the doing of another task that started beside it. By chance it comes seldom: where eleven
 /// workers crash fifty times in 100 s, one of them does so in one of 90 spans of 250 ms.
-pub const CRASHES: u32 = 3;
+pub const CRASH_LIMIT: u32 = 3;
 /// No two starts at one worker within this time, in milliseconds, if one of them is of a task
 /// that is suspected, and a task that is listed for so long has outlived its start. Longer than
 /// what an agent takes into account, as its word takes its time.
-pub const APART: u64 = 300;
+pub const START_ISOLATION_MS: u64 = 300;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,18 +5,21 @@
 //! Where tasks go is told by `quincewheel-place`; the owner of a deployment applies
 //! what both decide.
 
-mod blame;
 mod crash;
-mod goal;
+mod objective;
 mod pace;
+mod preemption;
+mod quarantine;
 mod rank;
-mod room;
-mod spare;
+mod reserve;
 
-pub use blame::{AVOIDED, Blame, bound_avoided, most_closed};
-pub use crash::{APART, CRASHES};
-pub use goal::{Goal, waves};
-pub use pace::{share, stands_still};
-pub use rank::{Hope, Rank};
-pub use room::{Guarantees, last_call, loss, pays, promised, weight};
-pub use spare::{is_half_free, spare, unspare};
+pub use crash::{CRASH_LIMIT, START_ISOLATION_MS};
+pub use objective::{Objective, rounds};
+pub use pace::{is_stalled, next_pace};
+pub use preemption::{
+    Guarantees, borrowed_reclaim_at, core_weight, guaranteed_reclaim_at, is_worth_preempting,
+    preemption_loss,
+};
+pub use quarantine::{AVOIDANCE_MS, Quarantine, limit_avoided, max_quarantined};
+pub use rank::{Lateness, Rank};
+pub use reserve::{is_half_free, release_whole_workers, reserve_whole_workers};
--- a/crates/policy/src/goal.rs
+++ b/crates/policy/src/objective.rs
@@ -2,11 +2,11 @@
 
 use quincewheel_job::{Resources, Step};
 
-use crate::rank::Hope;
+use crate::rank::Lateness;
 
 /// Where one occurrence of a job stands against its objective.
 #[derive(Clone, Copy, Debug)]
-pub struct Goal {
+pub struct Objective {
     /// When it was accepted or due, in milliseconds since 1970.
     begin: u64,
     /// Milliseconds from there within which it should end.
@@ -30,44 +30,44 @@
 /// objective allows for them.
 const SHARE: u64 = 4;
 
-impl Goal {
+impl Objective {
     /// The goal of what began at `begin`, whose longest chain takes `whole`
     /// milliseconds in all, of which `left` are left. It should end within
     /// `stretch` times the former and `slack` milliseconds more.
-    pub fn open(begin: u64, (whole, left): (u64, u64), stretch: f64, slack: u64) -> Goal {
-        Goal { begin, objective: (stretch * whole as f64) as u64 + slack, left }
+    pub fn new(begin: u64, (whole, left): (u64, u64), stretch: f64, slack: u64) -> Objective {
+        Objective { begin, objective: (stretch * whole as f64) as u64 + slack, left }
     }
 
     /// The goal of tasks that run until they are cancelled: each moment without
     /// them counts, so they start at once.
-    pub fn lasting(begin: u64) -> Goal {
-        Goal { begin, objective: LASTING, left: LASTING }
+    pub fn perpetual(begin: u64) -> Objective {
+        Objective { begin, objective: LASTING, left: LASTING }
     }
 
     /// Milliseconds from its begin within which it should end.
-    pub fn objective(&self) -> u64 {
+    pub fn duration_ms(&self) -> u64 {
         self.objective
     }
 
     /// The latest start, in milliseconds since 1970, that keeps the objective.
-    pub fn latest(&self) -> i64 {
+    pub fn latest_start(&self) -> i64 {
         (self.begin + self.objective) as i64 - self.left as i64
     }
 
     /// What it can still earn if it starts now.
-    pub fn hope(&self, wall: u64) -> Hope {
+    pub fn lateness(&self, wall: u64) -> Lateness {
         let end = wall.saturating_sub(self.begin) + self.left * SURE / 100;
         match end {
-            end if end <= self.objective => Hope::InTime,
-            end if end <= self.objective * LATE => Hope::Late,
-            _ => Hope::Hopeless,
+            end if end <= self.objective => Lateness::InTime,
+            end if end <= self.objective * LATE => Lateness::Late,
+            _ => Lateness::Expired,
         }
     }
 }
 
 /// How many times over the tasks of a step run one after the other, in a pool that
 /// has `all`.
-pub fn waves(step: &Step, all: Option<&Resources>) -> u64 {
+pub fn rounds(step: &Step, all: Option<&Resources>) -> u64 {
     let Some(all) = all.filter(|_| !step.gang) else { return 1 };
     let most = step.resources().fit_count(all, u64::MAX) / SHARE;
     u64::from(step.count).div_ceil(most.max(1)).max(1)
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -18,7 +18,7 @@
 
 /// The share of its speed, in percent, at which a task that fills works next, where the
 /// worst of the tasks that serve there is at `load` percent of its target.
-pub fn share(percent: u32, load: u64) -> u32 {
+pub fn next_pace(percent: u32, load: u64) -> u32 {
     match load {
         100.. => 0,
         CLOSE..100 => percent / 2,
@@ -34,6 +34,6 @@
 /// estimates are off by up to 0.9, and a task away from its rack takes three times as
 /// long. Moving what seemed to need three times its estimate cut the mean worth of eight
 /// seeds from 0.82 and 0.75 to 0.78 and 0.41.
-pub fn stands_still(estimate: u64, still: u64) -> bool {
+pub fn is_stalled(estimate: u64, still: u64) -> bool {
     estimate > 0 && still >= STILL.max(estimate / STILL_SHARE)
 }
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/preemption.rs
@@ -34,33 +34,33 @@
 /// others that would have got room by themselves. Waiting raised the mean
 /// worth of a full pool with ten teams from 0.44 to 0.46 (two seeds of six
 /// days).
-pub fn promised(begin: u64, reclaim: u64, stop: u64) -> u64 {
+pub fn borrowed_reclaim_at(begin: u64, reclaim: u64, stop: u64) -> u64 {
     begin + reclaim.saturating_sub(stop + AHEAD)
 }
 
 /// When the last room for a guaranteed step that began to wait at `begin` is made: that of
 /// guaranteed work of others, which has begun. In milliseconds.
-pub fn last_call(begin: u64, reclaim: u64, stop: u64) -> u64 {
+pub fn guaranteed_reclaim_at(begin: u64, reclaim: u64, stop: u64) -> u64 {
     begin + reclaim.saturating_sub(stop + LAST)
 }
 
 /// True if so much loss is worth so much work that then ends in time. What is
 /// guaranteed is given whatever it costs.
-pub fn pays(loss: u64, work: u64, guaranteed: bool) -> bool {
+pub fn is_worth_preempting(loss: u64, work: u64, guaranteed: bool) -> bool {
     guaranteed || loss <= work * LOSS_PER_WORK
 }
 
 /// What a task of the step takes, in cores.
-pub fn weight(step: &Step) -> u64 {
+pub fn core_weight(step: &Step) -> u64 {
     step.need.cpu / 1000 + CORES_PER_ACCELERATOR * step.need.accelerators
 }
 
 /// What stopping a run loses that has run for so many milliseconds, in
 /// core-milliseconds: all since its start, or with checkpoints, which are also
 /// made at a stop, what it takes to resume.
-pub fn loss(step: &Step, ran: u64) -> u64 {
+pub fn preemption_loss(step: &Step, ran: u64) -> u64 {
     let unsaved = if step.checkpoints { ran.min(RESUME) } else { ran };
-    unsaved * weight(step) * u64::from(if step.gang { step.count } else { 1 })
+    unsaved * core_weight(step) * u64::from(if step.gang { step.count } else { 1 })
 }
 
 /// What teams are guaranteed, and how much of it is taken.
@@ -72,12 +72,12 @@
 
 impl<F: Fn(&str) -> u64> Guarantees<F> {
     /// Nothing is taken of what `of` tells for each team, in accelerators.
-    pub fn open(of: F) -> Guarantees<F> {
+    pub fn new(of: F) -> Guarantees<F> {
         Guarantees { of, used: BTreeMap::new() }
     }
 
     /// Takes note of what a team's work holds, whether it is covered or not.
-    pub fn hold(&mut self, team: &str, need: u64) -> bool {
+    pub fn record_use(&mut self, team: &str, need: u64) -> bool {
         let guaranteed = (self.of)(team);
         let used = self.used.entry(team.to_owned()).or_default();
         *used += need;
@@ -86,7 +86,7 @@
 
     /// Takes accelerators from what the team is guaranteed and has not used. False,
     /// and nothing is taken, if they are not covered.
-    pub fn cover(&mut self, team: &str, need: u64) -> bool {
+    pub fn try_use(&mut self, team: &str, need: u64) -> bool {
         let guaranteed = (self.of)(team);
         let used = self.used.entry(team.to_owned()).or_default();
         if *used + need > guaranteed {
@@ -98,11 +98,11 @@
 
     /// The units that their teams hold beyond their guarantees, of all in the order in
     /// which they were started: the ones that a team started last.
-    pub fn borrowed<'a>(
+    pub fn borrowed_units<'a>(
         mut self,
         units: impl Iterator<Item = (u64, &'a str, u64)>,
     ) -> BTreeSet<u64> {
-        let beyond = units.filter(|(_, team, need)| !self.hold(team, *need));
+        let beyond = units.filter(|(_, team, need)| !self.record_use(team, *need));
         beyond.map(|(unit, ..)| unit).collect()
     }
 }
--- a/crates/policy/src/blame.rs
+++ b/crates/policy/src/quarantine.rs
@@ -22,14 +22,14 @@
 const DOUBLINGS: u32 = 3;
 /// A task does not return to a worker at which it failed for so many
 /// milliseconds. No longer, since no other worker may be able to run it.
-pub const AVOIDED: u64 = 2500;
+pub const AVOIDANCE_MS: u64 = 2500;
 /// No more than one worker in so many is closed, nor avoided by one step: where
 /// most fail, the cause is elsewhere.
 const PART: usize = 4;
 
 /// What speaks against a worker.
 #[derive(Clone, Debug, Default)]
-pub struct Blame {
+pub struct Quarantine {
     /// Runs that failed there in a row.
     failures: u32,
     /// Their jobs.
@@ -40,21 +40,21 @@
     pub until: u64,
 }
 
-impl Blame {
+impl Quarantine {
     /// A run succeeded.
-    pub fn clear(&mut self) {
-        *self = Blame::default();
+    pub fn reset(&mut self) {
+        *self = Quarantine::default();
     }
 
     /// A run of a job failed. True if the worker should be closed.
-    pub fn note(&mut self, job: &str) -> bool {
+    pub fn record_failure(&mut self, job: &str) -> bool {
         self.failures += 1;
         self.jobs.insert(job.to_owned());
         self.failures >= FAILURES && self.jobs.len() >= JOBS
     }
 
     /// Closes the worker, and tells for how many milliseconds.
-    pub fn close(&mut self, now: u64) -> u64 {
+    pub fn begin(&mut self, now: u64) -> u64 {
         let length = CLOSED << self.times.min(DOUBLINGS);
         self.until = now + length;
         self.times += 1;
@@ -65,11 +65,11 @@
 }
 
 /// How many of so many workers may be closed at one time.
-pub fn most_closed(workers: usize) -> usize {
+pub fn max_quarantined(workers: usize) -> usize {
     (workers / PART).max(1)
 }
 
 /// The places that a step avoids; none if they are too many of all.
-pub fn bound_avoided(avoided: Vec<usize>, all: usize) -> Vec<usize> {
-    if avoided.len() > most_closed(all) { Vec::new() } else { avoided }
+pub fn limit_avoided(avoided: Vec<usize>, all: usize) -> Vec<usize> {
+    if avoided.len() > max_quarantined(all) { Vec::new() } else { avoided }
 }
--- a/crates/policy/src/rank.rs
+++ b/crates/policy/src/rank.rs
@@ -9,9 +9,9 @@
     /// Its queue's; 0 comes first.
     pub priority: u32,
     /// What its job can still earn.
-    pub hope: Hope,
+    pub lateness: Lateness,
     /// The latest start, in milliseconds since 1970, that keeps its objective.
-    pub latest: i64,
+    pub latest_start: i64,
     /// Orders jobs by when they were accepted.
     pub version: u64,
 }
@@ -19,13 +19,13 @@
 /// What a job can still earn. One that is late earns a fourth or so of one that
 /// is not, whatever its priority; one that is hopeless only has to end.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Hope {
+pub enum Lateness {
     /// It can end within its objective.
     InTime,
     /// It can end while it still earns something.
     Late,
     /// It cannot.
-    Hopeless,
+    Expired,
 }
 
 /// Work that need not start for so many milliseconds leaves whole workers to
@@ -36,15 +36,15 @@
 impl Rank {
     /// Until when it leaves whole workers to work that has less time, in
     /// milliseconds since 1970; none if it never does.
-    pub fn waits_until(&self) -> Option<u64> {
-        let until = u64::try_from(self.latest - EASE).ok();
+    pub fn yields_workers_until(&self) -> Option<u64> {
+        let until = u64::try_from(self.latest_start - EASE).ok();
         until.filter(|_| self.priority > 0)
     }
 
     /// True if work of others is stopped for it. A late job that took room
     /// would earn little by it, and would be stopped for in turn: where all did,
     /// one day threw away more work than it did.
-    pub fn takes_room(&self) -> bool {
-        !self.borrowed || (self.priority == 0 && self.hope == Hope::InTime)
+    pub fn may_preempt(&self) -> bool {
+        !self.borrowed || (self.priority == 0 && self.lateness == Lateness::InTime)
     }
 }
--- a/crates/policy/src/spare.rs
+++ b/crates/policy/src/reserve.rs
@@ -16,7 +16,7 @@
 /// Urgent gangs come at any moment, want whole workers of one rack, and have
 /// less time than a stop takes. Where work that has many seconds left takes
 /// the last such workers, each urgent gang stops some of it.
-pub fn spare(spots: &mut [WorkerState], pool: &str) -> Vec<(usize, Resources)> {
+pub fn reserve_whole_workers(spots: &mut [WorkerState], pool: &str) -> Vec<(usize, Resources)> {
     let all = spots.iter().filter(|spot| spot.pool == pool).count();
     let mut free: Vec<usize> = (0..spots.len())
         .filter(|&place| {
@@ -37,7 +37,10 @@
 }
 
 /// Shows again what [`spare`] took, and returns where.
-pub fn unspare(spots: &mut [WorkerState], spared: Vec<(usize, Resources)>) -> Vec<usize> {
+pub fn release_whole_workers(
+    spots: &mut [WorkerState],
+    spared: Vec<(usize, Resources)>,
+) -> Vec<usize> {
     let show = |(place, free): (usize, Resources)| {
         spots[place].free = free;
         place
--- a/crates/policy/tests/ranks.rs
+++ b/crates/policy/tests/ranks.rs
@@ -1,15 +1,21 @@
 //! Urgent work among work that can wait.
 
 use insta::assert_snapshot;
-use quincewheel_policy::{Goal, Hope, Rank};
+use quincewheel_policy::{Lateness, Objective, Rank};
 
-fn rank(version: u64, priority: u32, borrowed: bool, goal: &Goal, wall: u64) -> Rank {
-    Rank { borrowed, priority, hope: goal.hope(wall), latest: goal.latest(), version }
+fn rank(version: u64, priority: u32, borrowed: bool, goal: &Objective, wall: u64) -> Rank {
+    Rank {
+        borrowed,
+        priority,
+        lateness: goal.lateness(wall),
+        latest_start: goal.latest_start(),
+        version,
+    }
 }
 
 /// A job of this run time, accepted at `begin`, of which all is left.
-fn goal(begin: u64, ms: u64, stretch: f64, slack: u64) -> Goal {
-    Goal::open(begin, (ms, ms), stretch, slack)
+fn goal(begin: u64, ms: u64, stretch: f64, slack: u64) -> Objective {
+    Objective::new(begin, (ms, ms), stretch, slack)
 }
 
 // Pattern: short urgent jobs that should end within one and a half times their work and
@@ -30,9 +36,9 @@
     ];
     ranks.sort_by_key(|(_, rank)| *rank);
     let lines = ranks.map(|(name, rank)| {
-        let until = rank.waits_until().map_or("-".to_owned(), |until| until.to_string());
-        let takes = if rank.takes_room() { "takes room" } else { "takes none" };
-        format!("{name}: {:?}, {takes}, leaves whole workers until {until}", rank.hope)
+        let until = rank.yields_workers_until().map_or("-".to_owned(), |until| until.to_string());
+        let takes = if rank.may_preempt() { "takes room" } else { "takes none" };
+        format!("{name}: {:?}, {takes}, leaves whole workers until {until}", rank.lateness)
     });
     assert_snapshot!(lines.join("\n"));
 }
@@ -44,8 +50,8 @@
     let goal = goal(0, 1000, 1.5, 250);
     let told: Vec<String> = [0, 750, 1050, 1051, 4550, 4551]
         .iter()
-        .map(|wall| format!("{wall}: {:?}", goal.hope(*wall)))
+        .map(|wall| format!("{wall}: {:?}", goal.lateness(*wall)))
         .collect();
     assert_snapshot!(told.join("\n"));
-    assert_eq!(Goal::lasting(5).hope(1_000_000), Hope::InTime);
+    assert_eq!(Objective::perpetual(5).lateness(1_000_000), Lateness::InTime);
 }
