--- a/crates/pool/src/command.rs
+++ b/crates/pool/src/command.rs
@@ -129,14 +129,20 @@
     }
 
     /// Notes how long a job of this team and shape ran that was declared so.
-    pub fn learn(&mut self, team: &str, shape: &Shape, declared: Duration, ran: Duration) {
-        self.estimates.learn(team, shape.total(), declared, ran);
+    pub fn record_duration(
+        &mut self,
+        team: &str,
+        shape: &Shape,
+        declared: Duration,
+        ran: Duration,
+    ) {
+        self.estimates.learn(team, shape.total_accelerators(), declared, ran);
     }
 
     /// Notes that a job ended well on a worker, or that it failed there.
     /// A worker on which distinct jobs fail in a row is quarantined: it would
     /// otherwise attract work, since what fails at once frees its place at once.
-    pub fn report(&mut self, job: JobId, worker: &str, good: bool) {
+    pub fn record_outcome(&mut self, job: JobId, worker: &str, good: bool) {
         if good {
             self.strikes.remove(worker);
             return;
@@ -145,7 +151,7 @@
         if !strikes.contains(&job) {
             strikes.push(job);
         }
-        if strikes.len() >= self.limits.strikes {
+        if strikes.len() >= self.limits.quarantine_threshold {
             self.set_condition(worker, Condition::Quarantined);
         }
     }
--- a/crates/pool/src/decide.rs
+++ b/crates/pool/src/decide.rs
@@ -38,7 +38,7 @@
             let covered = self.covered(job, &demand);
             // Equal shapes fail alike; this keeps a long queue linear.
             let alike = (demand.shape, covered);
-            let fresh = demand.avoid.is_empty() && !self.claims.contains_key(&job);
+            let fresh = demand.avoided_workers.is_empty() && !self.claims.contains_key(&job);
             if fresh && stuck.contains(&alike) {
                 continue;
             }
@@ -75,7 +75,7 @@
         decisions: &mut Vec<Decision>,
     ) -> bool {
         let quota = self.teams.get(&demand.team).map_or(0, |team| team.quota);
-        if quota > 0 && self.held_by(&demand.team) + demand.shape.total() > quota {
+        if quota > 0 && self.held_by(&demand.team) + demand.shape.total_accelerators() > quota {
             return true;
         }
         if let Some(claim) = self.claims.get(&job) {
@@ -130,7 +130,7 @@
         now: Duration,
         spare: &mut Option<Tally>,
     ) -> Option<Placement> {
-        if demand.avoid.is_empty() {
+        if demand.avoided_workers.is_empty() {
             let spare = spare.get_or_insert_with(|| self.spare());
             if let Some(placement) = plan::take(spare, shape) {
                 return Some(placement);
@@ -156,8 +156,8 @@
     /// True if a small job would break into a wholly free worker while it may
     /// still wait for a cell elsewhere: the patience for each point of weighing.
     fn spoils(&self, placement: &Placement, demand: &Demand, now: Duration) -> bool {
-        let bound = self.limits.patience * self.limits.weighing.min(100);
-        if demand.urgent || now.saturating_sub(demand.arrived) >= bound {
+        let bound = self.limits.bypass_limit * self.limits.fragmentation_weight.min(100);
+        if demand.urgent || now.saturating_sub(demand.arrived_at) >= bound {
             return false;
         }
         placement.iter().any(|(name, mask)| {
@@ -220,7 +220,7 @@
         now: Duration,
         decisions: &mut Vec<Decision>,
     ) -> bool {
-        let tally = self.reclaimable(&demand.avoid);
+        let tally = self.reclaimable(&demand.avoided_workers);
         let loss = |worker: &str, mask: u64| self.loss(worker, mask, now);
         // The cheapest place may be one that another guarantee needs.
         let found = cheapest(&tally, &share, loss).into_iter().take(TRIES);
@@ -293,7 +293,7 @@
         let lost = holdings.map(|holding| {
             let ran = now.saturating_sub(holding.since).as_millis() + 1;
             let weight = if holding.restartable { 1 } else { FINAL_LOSS };
-            u128::from(holding.shape.total()) * ran * weight
+            u128::from(holding.shape.total_accelerators()) * ran * weight
         });
         lost.sum()
     }
@@ -309,8 +309,8 @@
         now: Duration,
         decisions: &mut Vec<Decision>,
     ) -> bool {
-        let waited = now.saturating_sub(demand.arrived);
-        if demand.shape.total() < 2 || waited < self.limits.patience {
+        let waited = now.saturating_sub(demand.arrived_at);
+        if demand.shape.total_accelerators() < 2 || waited < self.limits.bypass_limit {
             return false;
         }
         if self.compact(job, demand, waited, now, decisions) {
@@ -325,7 +325,7 @@
             let ends = held.filter_map(|(job, _)| self.holdings.get(job)).map(|h| h.ends.max(now));
             ends.max().unwrap_or(now).as_millis()
         };
-        let mut tally = self.whole(&demand.avoid);
+        let mut tally = self.whole(&demand.avoided_workers);
         for at in 0..tally.spots().len() {
             let spot = tally.spot(at);
             spot.slots = self.workers[&*spot.worker].slots;
@@ -348,7 +348,7 @@
         now: Duration,
         decisions: &mut Vec<Decision>,
     ) -> bool {
-        let tally = self.reclaimable(&demand.avoid);
+        let tally = self.reclaimable(&demand.avoided_workers);
         let loss = |worker: &str, mask: u64| self.loss(worker, mask, now);
         let found = cheapest(&tally, &demand.shape, loss).into_iter().next();
         let Some(placement) = found else { return false };
@@ -368,15 +368,15 @@
         let mut cost = Duration::ZERO;
         for id in &holders {
             let holding = &self.holdings[id];
-            if holding.shape.total() * 2 > demand.shape.total()
+            if holding.shape.total_accelerators() * 2 > demand.shape.total_accelerators()
                 || plan::take(&mut spare, &holding.shape).is_none()
             {
                 return false;
             }
-            cost += MOVE * holding.shape.total();
+            cost += MOVE * holding.shape.total_accelerators();
         }
-        let lean = 1 + self.limits.weighing.min(100) / 25;
-        if waited * demand.shape.total() * lean < cost * 2 {
+        let lean = 1 + self.limits.fragmentation_weight.min(100) / 25;
+        if waited * demand.shape.total_accelerators() * lean < cost * 2 {
             return false;
         }
         self.evict(job, &placement, decisions);
@@ -394,7 +394,7 @@
 
 /// Places by rising cost, one per domain. The cost is summed over the cells.
 fn cheapest(tally: &Tally, shape: &Shape, cost: impl Fn(&str, u64) -> u128) -> Vec<Placement> {
-    let size = shape.cell();
+    let size = shape.cell_size();
     let mut found: Vec<(u128, Placement)> = Vec::new();
     for domain in tally.domains(shape.adjacency) {
         let room: u32 = domain.iter().map(|at| tally.spots()[*at].room(size)).sum();
--- a/crates/pool/src/demand.rs
+++ b/crates/pool/src/demand.rs
@@ -14,9 +14,9 @@
     /// Can run again, so that stopping it loses time but not its outcome.
     pub restartable: bool,
     /// When it came, on the caller's clock.
-    pub arrived: Duration,
+    pub arrived_at: Duration,
     /// How long its caller says it runs. Corrected by what the team's jobs did.
-    pub declared: Duration,
+    pub declared_duration: Duration,
     /// Workers that earlier attempts failed on, not to be tried again.
-    pub avoid: Vec<String>,
+    pub avoided_workers: Vec<String>,
 }
--- a/crates/pool/src/estimate.rs
+++ b/crates/pool/src/estimate.rs
@@ -51,9 +51,9 @@
     /// How long the job is expected to run.
     pub fn expect(&self, demand: &Demand) -> Duration {
         let fits = self.0.get(&demand.team);
-        let fit = fits.and_then(|fits| fits.get(&size(demand.shape.total())));
+        let fit = fits.and_then(|fits| fits.get(&size(demand.shape.total_accelerators())));
         let Some(fit) = fit.filter(|fit| fit.n >= ENOUGH) else {
-            return demand.declared;
+            return demand.declared_duration;
         };
         let spread = fit.n * fit.xx - fit.x * fit.x;
         let slope = if spread > 1e-9 {
@@ -62,7 +62,7 @@
             0.0
         };
         let level = (fit.y - slope * fit.x) / fit.n;
-        Duration::from_secs_f64((level + slope * log(demand.declared)).exp().min(1e7))
+        Duration::from_secs_f64((level + slope * log(demand.declared_duration)).exp().min(1e7))
     }
 }
 
--- a/crates/pool/src/guarantee.rs
+++ b/crates/pool/src/guarantee.rs
@@ -8,6 +8,7 @@
 /// fit. Greedy packing may refuse a set that a search would fit; it never
 /// accepts one that does not.
 pub fn pack(mut tally: Tally, shapes: &mut [Shape]) -> Option<Shape> {
-    shapes.sort_by_key(|shape| std::cmp::Reverse((shape.cell(), shape.adjacency, shape.tasks)));
+    shapes
+        .sort_by_key(|shape| std::cmp::Reverse((shape.cell_size(), shape.adjacency, shape.tasks)));
     shapes.iter().find(|shape| plan::take(&mut tally, shape).is_none()).copied()
 }
--- a/crates/pool/src/plan.rs
+++ b/crates/pool/src/plan.rs
@@ -9,7 +9,7 @@
 /// The domain with the least room that still suffices is filled, and in it the
 /// fullest workers first: what is left over stays as whole as it can.
 pub fn take(tally: &mut Tally, shape: &Shape) -> Option<Placement> {
-    let size = shape.cell();
+    let size = shape.cell_size();
     let mut best: Option<(u32, &[usize])> = None;
     for domain in tally.domains(shape.adjacency) {
         let room: u32 = domain.iter().map(|at| tally.spots()[*at].room(size)).sum();
@@ -27,7 +27,7 @@
     for at in fullest_first(tally, domain, shape) {
         let spot = tally.spot(at);
         while placement.len() < shape.tasks as usize && spot.slots > 0 {
-            let Some(mask) = cell::tightest(spot.free, shape.cell()) else { break };
+            let Some(mask) = cell::tightest(spot.free, shape.cell_size()) else { break };
             spot.free &= !mask;
             spot.slots -= 1;
             placement.push((spot.worker.to_string(), mask));
@@ -43,7 +43,7 @@
 /// that fits on one worker goes to the fullest one that takes it whole, rather
 /// than into the crumbs of many.
 fn fullest_first(tally: &Tally, domain: &[usize], shape: &Shape) -> Vec<usize> {
-    let size = shape.cell();
+    let size = shape.cell_size();
     let mut by_free: Vec<Vec<usize>> = vec![Vec::new(); 65];
     let mut whole: Option<(u32, usize)> = None;
     for at in domain {
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -14,21 +14,27 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Most jobs that wait per team.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Workers that may fail without breaking a guarantee.
-    pub reserve: usize,
+    pub failure_reserve: usize,
     /// After this wait a wide job stops narrower ones from overtaking it.
-    pub patience: Duration,
+    pub bypass_limit: Duration,
     /// 0 weighs completion time alone, 100 fragmentation alone.
-    pub weighing: u32,
+    pub fragmentation_weight: u32,
     /// Distinct jobs in a row that fail on a worker before it is quarantined.
-    pub strikes: usize,
+    pub quarantine_threshold: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        let patience = Duration::from_secs(60);
-        Limits { queue: 1000, reserve: 1, patience, weighing: 0, strikes: 3 }
+        let bypass_limit = Duration::from_secs(60);
+        Limits {
+            max_queued: 1000,
+            failure_reserve: 1,
+            bypass_limit,
+            fragmentation_weight: 0,
+            quarantine_threshold: 3,
+        }
     }
 }
 
@@ -117,6 +123,10 @@
 
     /// Accelerators that a team holds.
     pub(crate) fn held_by(&self, team: &str) -> u32 {
-        self.holdings.values().filter(|h| h.team == team).map(|h| h.shape.total()).sum()
+        self.holdings
+            .values()
+            .filter(|h| h.team == team)
+            .map(|h| h.shape.total_accelerators())
+            .sum()
     }
 }
--- a/crates/pool/src/query.rs
+++ b/crates/pool/src/query.rs
@@ -44,7 +44,7 @@
     /// Its waiting jobs.
     pub queued: u32,
     /// False while its unused guarantee does not fit the serving workers.
-    pub fits: bool,
+    pub guarantee_fits: bool,
 }
 
 impl Pool {
@@ -63,7 +63,7 @@
 
     /// All teams.
     pub fn teams(&self) -> Vec<TeamView<'_>> {
-        let missing = self.missing();
+        let missing = self.unsatisfied_guarantee();
         let mut views = Vec::new();
         for (name, team) in &self.teams {
             let owed = |shape| team.shares.iter().any(|share| share.shape == shape);
@@ -72,32 +72,32 @@
                 quota: team.quota,
                 shares: &team.shares,
                 held: self.held_by(name),
-                queued: self.queued(name) as u32,
-                fits: !missing.is_some_and(owed),
+                queued: self.queued_count(name) as u32,
+                guarantee_fits: !missing.is_some_and(owed),
             });
         }
         views
     }
 
     /// Number of the team's waiting jobs.
-    pub fn queued(&self, team: &str) -> usize {
+    pub fn queued_count(&self, team: &str) -> usize {
         self.waiting.values().filter(|demand| demand.team == team).count()
     }
 
     /// True if the team's queue takes no more.
-    pub fn full(&self, team: &str) -> bool {
-        self.queued(team) >= self.limits.queue
+    pub fn is_queue_full(&self, team: &str) -> bool {
+        self.queued_count(team) >= self.limits.max_queued
     }
 
     /// The first unused guaranteed shape that could not be reclaimed now.
-    pub fn missing(&self) -> Option<Shape> {
+    pub fn unsatisfied_guarantee(&self) -> Option<Shape> {
         guarantee::pack(self.reclaimable(&[]), &mut self.unused(None))
     }
 
     /// What does not fit if `team` were given `shares`, after `reserve` of the
     /// largest workers failed: the first shape of which not all fit beside the
     /// other teams' guarantees and the shares before it, and how many do.
-    pub fn misfit(&self, team: &str, shares: &[Share]) -> Option<Share> {
+    pub fn unsatisfiable_share(&self, team: &str, shares: &[Share]) -> Option<Share> {
         let others = self.teams.iter().filter(|(name, _)| *name != team);
         let mut set: Vec<Share> = others.flat_map(|(_, team)| &team.shares).copied().collect();
         for share in shares {
@@ -117,7 +117,8 @@
     }
 
     fn fits(&self, shares: &[Share]) -> bool {
-        let all = shares.iter().map(|share| share.shape.total() * share.count).sum::<u32>();
+        let all =
+            shares.iter().map(|share| share.shape.total_accelerators() * share.count).sum::<u32>();
         let room: u32 = self.workers.values().map(|worker| worker.accelerators).sum();
         if all > room {
             return false;
@@ -133,7 +134,7 @@
         let mut sizes: Vec<(u32, &str)> =
             self.workers.iter().map(|(name, w)| (w.accelerators, name.as_str())).collect();
         sizes.sort();
-        let kept = sizes.len().saturating_sub(self.limits.reserve);
+        let kept = sizes.len().saturating_sub(self.limits.failure_reserve);
         let failed: Vec<&str> = sizes[kept..].iter().map(|(_, name)| *name).collect();
         self.empty(&failed)
     }
@@ -150,7 +151,7 @@
 
     /// True if the shape could be placed were the pool empty and all workers
     /// served. A job for which this is false can never run.
-    pub fn possible(&self, shape: &Shape) -> bool {
+    pub fn can_ever_fit(&self, shape: &Shape) -> bool {
         crate::plan::take(&mut self.empty(&[]), shape).is_some()
     }
 
@@ -165,7 +166,7 @@
         let free: u32 = tally.spots().iter().map(|spot| spot.free.count_ones()).sum();
         let mut used = 0;
         while crate::plan::take(&mut tally, shape).is_some() {
-            used += shape.total();
+            used += shape.total_accelerators();
         }
         if free == 0 { 0.0 } else { f64::from(free - used) / f64::from(free) }
     }
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -20,7 +20,7 @@
         let open = self.open_shares();
         let mut held: BTreeMap<&str, u32> = BTreeMap::new();
         for holding in self.holdings.values() {
-            *held.entry(&holding.team).or_default() += holding.shape.total();
+            *held.entry(&holding.team).or_default() += holding.shape.total_accelerators();
         }
         let all: u32 = self.workers.values().map(|worker| worker.accelerators).sum();
         let key = |(job, demand): (&JobId, &Demand)| {
@@ -46,10 +46,10 @@
     /// Expected work by wait. Toward fragmentation, wide shapes count for less:
     /// they go first while there is room for them.
     fn score(&self, demand: &Demand, now: Duration) -> f64 {
-        let waited = now.saturating_sub(demand.arrived).as_secs_f64();
+        let waited = now.saturating_sub(demand.arrived_at).as_secs_f64();
         let run = self.estimates.expect(demand).as_secs_f64();
-        let width = f64::from(demand.shape.total());
-        let lean = 1.0 - 1.5 * f64::from(self.limits.weighing.min(100)) / 100.0;
+        let width = f64::from(demand.shape.total_accelerators());
+        let lean = 1.0 - 1.5 * f64::from(self.limits.fragmentation_weight.min(100)) / 100.0;
         (run + 1.0) * width.powf(lean) / (waited + GRAIN)
     }
 
--- a/crates/pool/src/room.rs
+++ b/crates/pool/src/room.rs
@@ -18,7 +18,7 @@
     pub(crate) fn vacant(&self, demand: &Demand, now: Duration) -> Tally {
         let ends = now + self.estimates.expect(demand);
         let kept = |claim: &Claim| claim.ready.is_none_or(|ready| ends > ready);
-        self.tally(&demand.avoid, kept, Worker::free)
+        self.tally(&demand.avoided_workers, kept, Worker::free)
     }
 
     /// What is free and not kept for anybody.
--- a/crates/pool/src/shape.rs
+++ b/crates/pool/src/shape.rs
@@ -28,13 +28,13 @@
     /// Accelerators in the cell that one task takes. Rounded up to a power of
     /// two, since only aligned powers of two stay adjacent when cells are
     /// split and joined again.
-    pub fn cell(&self) -> u32 {
+    pub fn cell_size(&self) -> u32 {
         self.accelerators.next_power_of_two()
     }
 
     /// Accelerators that the whole gang takes.
-    pub fn total(&self) -> u32 {
-        self.tasks * self.cell()
+    pub fn total_accelerators(&self) -> u32 {
+        self.tasks * self.cell_size()
     }
 
     /// True if a guarantee of `self` pays for a job of shape `other`: the same
@@ -42,7 +42,7 @@
     /// sit so that the whole shape is no longer there when they have ended.
     pub fn covers(&self, other: &Shape) -> bool {
         self.tasks == other.tasks
-            && self.cell() == other.cell()
+            && self.cell_size() == other.cell_size()
             && self.adjacency >= other.adjacency
     }
 }
--- a/crates/pool/tests/invariants.rs
+++ b/crates/pool/tests/invariants.rs
@@ -23,7 +23,7 @@
 
 impl Bed {
     fn new(seed: u64) -> Bed {
-        let mut pool = Pool::new(Limits { reserve: 0, ..Limits::default() });
+        let mut pool = Pool::new(Limits { failure_reserve: 0, ..Limits::default() });
         for at in 0..WORKERS {
             pool.put_worker(&format!("w{at}"), "z", &format!("r{}", at / 2), 8, 6);
         }
@@ -35,7 +35,7 @@
         ];
         for (team, shares) in guarantees {
             pool.put_team(team, 0);
-            assert_eq!(pool.misfit(team, &shares), None);
+            assert_eq!(pool.unsatisfiable_share(team, &shares), None);
             pool.put_shares(team, shares);
         }
         Bed {
@@ -86,9 +86,9 @@
             shape: Shape::new(tasks, accelerators, adjacency),
             urgent: self.rng.random_bool(0.2),
             restartable: self.rng.random_bool(0.7),
-            arrived: self.now,
-            declared: Duration::from_secs(self.rng.random_range(1..1000)),
-            avoid: Vec::new(),
+            arrived_at: self.now,
+            declared_duration: Duration::from_secs(self.rng.random_range(1..1000)),
+            avoided_workers: Vec::new(),
         };
         self.pool.enqueue(self.next, demand);
         self.waiting.push(self.next);
@@ -132,7 +132,11 @@
             assert_eq!(view.free + taken, 8, "{context}: {} does not add up", view.worker);
             assert!(view.tasks <= 6, "{context}: {} has too many tasks", view.worker);
         }
-        assert_eq!(self.pool.missing(), None, "{context}: a guarantee is not reclaimable");
+        assert_eq!(
+            self.pool.unsatisfied_guarantee(),
+            None,
+            "{context}: a guarantee is not reclaimable"
+        );
     }
 }
 
@@ -195,15 +199,15 @@
     ];
     for shape in shapes {
         let mut bed = Bed::new(0);
-        let possible = bed.pool.possible(&shape);
+        let possible = bed.pool.can_ever_fit(&shape);
         let demand = Demand {
             team: "nobody".to_owned(),
             shape,
             urgent: false,
             restartable: true,
-            arrived: Duration::ZERO,
-            declared: Duration::from_secs(1),
-            avoid: Vec::new(),
+            arrived_at: Duration::ZERO,
+            declared_duration: Duration::from_secs(1),
+            avoided_workers: Vec::new(),
         };
         bed.pool.enqueue(1, demand);
         let decisions = bed.pool.decide(Duration::from_secs(1));
--- a/crates/shard/src/job.rs
+++ b/crates/shard/src/job.rs
@@ -98,9 +98,9 @@
         let settled = cx.now.saturating_sub(self.active_since) >= cx.settings.lost;
         let (reason, base) = if job.recorded() && self.store_down(cx) {
             ("the table service does not answer, so this job cannot be recorded", STORE_RETRY)
-        } else if self.pool.full(&job.team) {
+        } else if self.pool.is_queue_full(&job.team) {
             ("the team's queue is full", QUEUE_RETRY)
-        } else if settled && !self.pool.possible(&job.shape) {
+        } else if settled && !self.pool.can_ever_fit(&job.shape) {
             ("no worker, rack or zone is large enough for this shape", Duration::from_secs(600))
         } else {
             return None;
@@ -161,9 +161,9 @@
             shape: record.job.shape,
             urgent: record.job.urgent,
             restartable: record.job.idempotent,
-            arrived: record.arrived,
-            declared: record.job.run,
-            avoid: record.avoid.clone(),
+            arrived_at: record.arrived,
+            declared_duration: record.job.run,
+            avoided_workers: record.avoid.clone(),
         };
         self.pool.enqueue(id, demand);
         self.dirty = true;
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -371,7 +371,7 @@
             let agent = self.agents.get_mut(&worker).expect("listed above");
             if agent.quarantined.is_some_and(|since| now.saturating_sub(since) >= PROBATION) {
                 agent.quarantined = None;
-                self.pool.report(0, &worker, true);
+                self.pool.record_outcome(0, &worker, true);
             }
             self.refresh_condition(cx, &worker);
         }
--- a/crates/shard/src/reports.rs
+++ b/crates/shard/src/reports.rs
@@ -61,10 +61,10 @@
         let Some(part) = current.parts.get_mut(worker).filter(|part| part.live()) else { return };
         match &report {
             Report::Done { .. } => {
-                self.pool.report(id, worker, true);
-                self.pool.learn(&team, &shape, declared, cx.now.saturating_sub(since));
+                self.pool.record_outcome(id, worker, true);
+                self.pool.record_duration(&team, &shape, declared, cx.now.saturating_sub(since));
             }
-            Report::Failed { .. } => self.pool.report(id, worker, false),
+            Report::Failed { .. } => self.pool.record_outcome(id, worker, false),
             _ => {}
         }
         *part = Part::Ended(report);
--- a/crates/shard/src/views.rs
+++ b/crates/shard/src/views.rs
@@ -83,7 +83,7 @@
                 retry_after: Duration::from_millis(200),
             });
         }
-        let Some(misfit) = self.pool.misfit(team, shares) else { return Ok(()) };
+        let Some(misfit) = self.pool.unsatisfiable_share(team, shares) else { return Ok(()) };
         Err(Refusal::Unfit {
             message: format!(
                 "the guaranteed shapes do not all fit with the failure reserve: of {} only {} fit \
@@ -173,7 +173,7 @@
             shares: team.shares.to_vec(),
             held: team.held,
             queued: team.queued,
-            fits: team.fits,
+            fits: team.guarantee_fits,
         });
         Answer::Pool {
             epoch: self.row.epoch,
@@ -227,7 +227,7 @@
     format!(
         "{} task(s) with {} adjacent accelerator(s) each, adjacency {:?}",
         shape.tasks,
-        shape.cell(),
+        shape.cell_size(),
         shape.adjacency
     )
 }
--- a/crates/trial/src/baseline.rs
+++ b/crates/trial/src/baseline.rs
@@ -42,7 +42,8 @@
     pub fn best_fit(site: Site, stream: &Stream) -> Baseline {
         let mut baseline = Baseline::new(site, true);
         for (team, shares) in &stream.shares {
-            let count = shares.iter().map(|share| share.shape.total() * share.count).sum();
+            let count =
+                shares.iter().map(|share| share.shape.total_accelerators() * share.count).sum();
             baseline.quotas.insert(team.clone(), count);
         }
         baseline
@@ -109,7 +110,7 @@
             self.workers[*at].free &= !mask;
             placement.push((self.workers[*at].name.clone(), u64::from(*mask)));
         }
-        let (team, total) = (job.team.clone(), job.shape.total());
+        let (team, total) = (job.team.clone(), job.shape.total_accelerators());
         let running = Running { team, total, since: now, stopping: false, places };
         self.running.insert(job.id, running);
         Decision::Start { job: job.id, placement, guaranteed: false }
@@ -132,7 +133,7 @@
     }
 
     fn fill(&self, order: impl Iterator<Item = usize>, shape: &Shape) -> Option<Vec<(usize, u8)>> {
-        let size = shape.cell();
+        let size = shape.cell_size();
         let cell = if size >= 8 { 0xff } else { (1u8 << size) - 1 };
         let mut places = Vec::new();
         for at in order {
@@ -158,12 +159,12 @@
             self.running.values().filter(|r| r.team == team).map(|r| r.total).sum()
         };
         let quota = |team: &str| self.quotas.get(team).copied().unwrap_or(0);
-        if held(&job.team) + job.shape.total() > quota(&job.team) {
+        if held(&job.team) + job.shape.total_accelerators() > quota(&job.team) {
             return;
         }
         let free: u32 = self.workers.iter().filter(|w| w.up).map(|w| w.free.count_ones()).sum();
         let leaving: u32 = self.running.values().filter(|r| r.stopping).map(|r| r.total).sum();
-        let mut missing = job.shape.total().saturating_sub(free + leaving);
+        let mut missing = job.shape.total_accelerators().saturating_sub(free + leaving);
         let mut borrowers: Vec<(Duration, u64)> = self
             .running
             .iter()
--- a/crates/trial/src/bin/trial.rs
+++ b/crates/trial/src/bin/trial.rs
@@ -63,7 +63,7 @@
         "workers", "one task us", "gang of 256 us", "1000 waiting us"
     );
     for workers in [11, 100, 500, 1000, 3000, 7500] {
-        let limits = Limits { reserve: 0, ..Limits::default() };
+        let limits = Limits { failure_reserve: 0, ..Limits::default() };
         let mut pool = Pool::new(limits);
         for at in 0..workers {
             let (rack, zone) = (format!("r{}", at / 3), format!("z{}", at % 7));
@@ -85,9 +85,9 @@
             shape,
             urgent: false,
             restartable: true,
-            arrived: Duration::ZERO,
-            declared: Duration::from_secs(60),
-            avoid: Vec::new(),
+            arrived_at: Duration::ZERO,
+            declared_duration: Duration::from_secs(60),
+            avoided_workers: Vec::new(),
         };
         pool.enqueue(base * 1_000_000 + job, demand);
     }
--- a/crates/trial/src/driver.rs
+++ b/crates/trial/src/driver.rs
@@ -199,7 +199,7 @@
             return;
         }
         let ran = (now - state.since).saturating_sub(GRACE);
-        let total = f64::from(state.job.shape.total());
+        let total = f64::from(state.job.shape.total_accelerators());
         if state.job.deaf {
             self.lost += total * ran.as_secs_f64() / 3600.0;
         } else {
@@ -322,7 +322,7 @@
             for id in hit {
                 let state = &self.jobs[&id];
                 let ran = (self.now - state.since).as_secs_f64();
-                self.lost += f64::from(state.job.shape.total()) * ran / 3600.0;
+                self.lost += f64::from(state.job.shape.total_accelerators()) * ran / 3600.0;
                 self.give_back(id);
                 self.requeue(id);
             }
@@ -378,8 +378,8 @@
             done: done.len(),
             mean: mean(&all),
             p99: all.get(all.len() * 99 / 100).copied().unwrap_or(0.0),
-            mean_small: mean(&of(&|state| state.job.shape.total() < 8)),
-            mean_wide: mean(&of(&|state| state.job.shape.total() >= 8)),
+            mean_small: mean(&of(&|state| state.job.shape.total_accelerators() < 8)),
+            mean_wide: mean(&of(&|state| state.job.shape.total_accelerators() >= 8)),
             fragmentation: mean(&self.fragments),
             wait_guaranteed: mean(&guaranteed),
             violations: guaranteed.iter().filter(|w| **w > BOUND.as_secs_f64()).count(),
--- a/crates/trial/src/policy.rs
+++ b/crates/trial/src/policy.rs
@@ -16,7 +16,12 @@
 impl Policy {
     /// The product's core for a site and its guarantees.
     pub fn core(site: Site, stream: &Stream, weighing: u32) -> Policy {
-        let limits = Limits { queue: usize::MAX, reserve: 1, weighing, ..Limits::default() };
+        let limits = Limits {
+            max_queued: usize::MAX,
+            failure_reserve: 1,
+            fragmentation_weight: weighing,
+            ..Limits::default()
+        };
         let mut pool = Pool::new(limits);
         for index in 0..site.workers {
             let rack = index / site.rack;
@@ -27,7 +32,7 @@
             pool.put_team(team, 0);
         }
         for (team, shares) in &stream.shares {
-            assert_eq!(pool.misfit(team, shares), None, "the guarantees fit");
+            assert_eq!(pool.unsatisfiable_share(team, shares), None, "the guarantees fit");
             pool.put_shares(team, shares.clone());
         }
         Policy::Core(Box::new(pool))
@@ -60,9 +65,9 @@
     /// A job ran to its end, or failed, on these workers after this time.
     pub fn report(&mut self, job: &Job, workers: &[String], good: bool, ran: Duration) {
         if let Policy::Core(pool) = self {
-            workers.iter().for_each(|worker| pool.report(job.id, worker, good));
+            workers.iter().for_each(|worker| pool.record_outcome(job.id, worker, good));
             if good {
-                pool.learn(&job.team, &job.shape, job.declared, ran);
+                pool.record_duration(&job.team, &job.shape, job.declared, ran);
             }
         }
     }
@@ -91,8 +96,8 @@
         shape: job.shape,
         urgent: job.urgent,
         restartable: true,
-        arrived: now,
-        declared: job.declared,
-        avoid: Vec::new(),
+        arrived_at: now,
+        declared_duration: job.declared,
+        avoided_workers: Vec::new(),
     }
 }
--- a/crates/trial/src/stream.rs
+++ b/crates/trial/src/stream.rs
@@ -80,7 +80,12 @@
             let shape = shape(&mut rng, site, scene, id);
             let run = run_time(&mut rng, &shape);
             let error = 10f64.powf(rng.random_range(-1.0..1.0));
-            at += gap(&mut rng, scene, id, run * f64::from(shape.total()) / (capacity * load));
+            at += gap(
+                &mut rng,
+                scene,
+                id,
+                run * f64::from(shape.total_accelerators()) / (capacity * load),
+            );
             jobs.push(Job {
                 id: id + 1,
                 team: TEAMS[team(&mut rng)].to_owned(),
@@ -128,7 +133,7 @@
 /// Seconds: heavy-tailed, longer for wide jobs.
 fn run_time(rng: &mut StdRng, shape: &Shape) -> f64 {
     let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
-    let median = if shape.total() >= 8 { 1200.0 } else { 300.0 };
+    let median = if shape.total_accelerators() >= 8 { 1200.0 } else { 300.0 };
     (median * (normal * 1.2).exp()).clamp(5.0, 40_000.0)
 }
 
--- a/tests/bed/world.rs
+++ b/tests/bed/world.rs
@@ -111,7 +111,7 @@
             queue: BTreeMap::new(),
             frozen: BTreeMap::new(),
             slots: 8,
-            limits: Limits { reserve: 0, ..Limits::default() },
+            limits: Limits { failure_reserve: 0, ..Limits::default() },
             next: 1,
         };
         for at in 0..entries {
