--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,10 +1,9 @@
-//! Where tasks go.
+//! Placement of tasks on workers.
 //!
-//! Pure functions over a picture of the workers: [`pack`] finds free places
-//! for the tasks of a step, [`reclaim`] finds the cheapest work to take away
-//! where there are none. Both keep workers and racks whole where they can,
-//! because scattered small tasks starve the gangs that need many accelerators
-//! side by side.
+//! Pure functions over a snapshot of the workers: [`pack`] places the tasks of a step in free
+//! capacity, [`plan_preemption`] finds the cheapest work to preempt where there is none. Both
+//! keep workers and racks whole where they can, because scattered small tasks starve the gangs
+//! that need many accelerators close together.
 
 mod pack;
 mod preemption;
--- a/crates/place/src/pack.rs
+++ b/crates/place/src/pack.rs
@@ -5,25 +5,24 @@
 use crate::request::Request;
 use crate::worker_state::WorkerState;
 
-/// A place for one task: an index into the spots.
+/// An index into the list of workers.
 pub type WorkerIndex = usize;
 
-/// Finds places for the tasks of a step in what is free. A gang gets places
-/// for all its tasks or none; other steps get as many as there are.
+/// Places the tasks of a step in free capacity and returns a worker for each. Of a gang all tasks
+/// are placed or none, of other steps as many as fit.
 ///
-/// A step that wants one rack is given one, the fullest that holds it. Only if
-/// no rack could hold it even when empty is it spread: on several racks its
-/// tasks take several times as long. One that has lost its patience is spread,
-/// too, if half of the pool is free: it would stand still beside idle workers
-/// for as long as a little work goes on in each rack.
+/// A gang that needs one rack is placed in the fullest rack that holds it. It is spread over
+/// several racks, where its tasks take several times as long, only if no rack could hold it even
+/// when empty, or if it no longer waits for a rack and half of the pool is free. Otherwise a little
+/// work in each rack would keep it waiting next to idle workers.
 pub fn pack(workers: &[WorkerState], request: &Request<'_>) -> Vec<WorkerIndex> {
     let free: Vec<Resources> = workers.iter().map(|worker| worker.free).collect();
     if !request.step.gang {
         return place_tasks(workers, &free, request, |_| true);
     }
     if request.step.same_rack && request.count > 1 {
-        let eligible_racks = eligible_racks(workers, request);
-        let candidates = eligible_racks.iter().filter_map(|rack| {
+        let racks = eligible_racks(workers, request);
+        let candidates = racks.iter().filter_map(|rack| {
             let chosen = place_tasks(workers, &free, request, |worker| worker.rack == **rack);
             complete(chosen, request)
                 .map(|chosen| (rack_cost(workers, rack, &request.step.near), chosen))
@@ -32,14 +31,14 @@
             return chosen;
         }
         let waits = request.waits_for_rack || !is_half_free(workers, request);
-        if waits && eligible_racks.iter().any(|rack| fits_when_empty(workers, request, rack)) {
+        if waits && racks.iter().any(|rack| fits_when_empty(workers, request, rack)) {
             return Vec::new();
         }
     }
     complete(place_tasks(workers, &free, request, |_| true), request).unwrap_or_default()
 }
 
-/// The racks on which a step's tasks may run.
+/// The racks of the workers that may run the step.
 pub(crate) fn eligible_racks<'a>(
     workers: &'a [WorkerState],
     request: &Request<'_>,
@@ -51,14 +50,14 @@
         .collect()
 }
 
-/// True if the rack would hold all tasks if nothing ran on it.
+/// True if all tasks would fit in the rack if nothing ran there.
 pub(crate) fn fits_when_empty(workers: &[WorkerState], request: &Request<'_>, rack: &str) -> bool {
     let all: Vec<Resources> = workers.iter().map(|worker| worker.capacity).collect();
     place_tasks(workers, &all, request, |worker| worker.rack == rack).len()
         == request.count as usize
 }
 
-/// True if half of the accelerators that may run the step are free.
+/// True if at least half of the accelerators of eligible workers are free.
 fn is_half_free(workers: &[WorkerState], request: &Request<'_>) -> bool {
     let allowed = || workers.iter().filter(|worker| request.is_eligible(worker));
     let free: u64 = allowed().map(|worker| worker.free.accelerators).sum();
@@ -66,7 +65,7 @@
     free * 2 >= all
 }
 
-/// How much a rack has free, the data's own rack first.
+/// Orders racks: the one that holds the data first, then by free accelerators.
 fn rack_cost(workers: &[WorkerState], rack: &str, near: &str) -> (bool, u64) {
     let free =
         workers.iter().filter(|worker| worker.rack == rack).map(|worker| worker.free.accelerators);
@@ -77,39 +76,39 @@
     (chosen.len() == request.count as usize).then_some(chosen)
 }
 
-/// Puts tasks one after the other where the least is left over.
+/// Places the tasks one by one, each where the least is left over (best fit).
 pub(crate) fn place_tasks(
     workers: &[WorkerState],
-    rooms: &[Resources],
+    free: &[Resources],
     request: &Request<'_>,
     allowed: impl Fn(&WorkerState) -> bool,
 ) -> Vec<WorkerIndex> {
     let need = request.step.resources();
-    let mut rooms = rooms.to_vec();
+    let mut free = free.to_vec();
     let mut chosen: Vec<WorkerIndex> = Vec::new();
     let mut counts = vec![0u64; workers.len()];
     let limits: Vec<u64> = (0..workers.len())
         .map(|index| match allowed(&workers[index]) && request.is_eligible(&workers[index]) {
-            true => request.max_tasks(index, &rooms[index]),
+            true => request.max_tasks(index, &free[index]),
             false => 0,
         })
         .collect();
     for _ in 0..request.count {
         let fits = (0..workers.len())
-            .filter(|&index| counts[index] < limits[index] && need.fits(&rooms[index]));
-        let Some(best) = fits.min_by_key(|&index| rank(&workers[index], &rooms[index], request))
+            .filter(|&index| counts[index] < limits[index] && need.fits(&free[index]));
+        let Some(best) = fits.min_by_key(|&index| rank(&workers[index], &free[index], request))
         else {
             break;
         };
-        rooms[best].subtract(&need);
+        free[best].subtract(&need);
         counts[best] += 1;
         chosen.push(best);
     }
     chosen
 }
 
-/// What makes a place the better choice: sound, near the data, and leaving the
-/// fewest accelerators and then the least of the rest.
+/// The preference of a worker for the next task, lowest first: not deprioritized, in the rack of
+/// the data, with the fewest free accelerators, then with the least free memory.
 fn rank(worker: &WorkerState, room: &Resources, request: &Request<'_>) -> (bool, bool, u64, u64) {
     let near = &request.step.near;
     let far = !near.is_empty() && worker.rack != *near;
--- a/crates/place/src/preemption.rs
+++ b/crates/place/src/preemption.rs
@@ -6,45 +6,44 @@
 use crate::request::Request;
 use crate::worker_state::{Preemptible, WorkerState};
 
-/// Room that is made by taking work away.
+/// The outcome of [`plan_preemption`]: workers for the tasks, and the work to stop for them.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Preemption {
-    /// A place for each task.
+    /// A worker for each task.
     pub workers: Vec<WorkerIndex>,
     /// The units to stop.
     pub victims: BTreeSet<u64>,
-    /// What that loses, in the unit of [`crate::Holder::loss`].
+    /// The work that is lost by it, in the unit of [`crate::Preemptible::loss`].
     pub loss: u64,
 }
 
-/// Finds the cheapest work whose end makes room for all tasks of a step. None
-/// if nothing that may be taken away makes enough.
+/// Finds the cheapest work to preempt so that all tasks of a step fit. None if they don't fit even
+/// if everything that may be preempted is stopped.
 ///
-/// Each rack is tried by itself, and all together for a step that needs no
-/// rack of its own; what loses least wins.
+/// Tries each rack on its own, and all racks together for a step that does not need one rack, and
+/// returns the plan that loses least.
 pub fn plan_preemption(workers: &[WorkerState], request: &Request<'_>) -> Option<Preemption> {
-    let eligible_racks = eligible_racks(workers, request);
+    let racks = eligible_racks(workers, request);
     let one_rack = request.step.gang && request.step.same_rack && request.count > 1;
-    let mut tries = Vec::new();
-    for rack in &eligible_racks {
-        tries.extend(attempt(workers, request, |worker| worker.rack == **rack));
+    let mut plans = Vec::new();
+    for rack in &racks {
+        plans.extend(plan_on(workers, request, |worker| worker.rack == **rack));
     }
-    if !one_rack || !eligible_racks.iter().any(|rack| fits_when_empty(workers, request, rack)) {
-        tries.extend(attempt(workers, request, |_| true));
+    if !one_rack || !racks.iter().any(|rack| fits_when_empty(workers, request, rack)) {
+        plans.extend(plan_on(workers, request, |_| true));
     }
-    tries.into_iter().min_by_key(|preemption| preemption.loss)
+    plans.into_iter().min_by_key(|preemption| preemption.loss)
 }
 
-/// Places the tasks within the allowed workers, cheapest first, and says what
-/// that loses.
-fn attempt(
+/// Places the tasks on the allowed workers, each where it costs least.
+fn plan_on(
     workers: &[WorkerState],
     request: &Request<'_>,
     allowed: impl Fn(&WorkerState) -> bool,
 ) -> Option<Preemption> {
     let need = request.step.resources();
     let mut stopped: BTreeSet<u64> = BTreeSet::new();
-    let mut rooms: Vec<Resources> =
+    let mut available: Vec<Resources> =
         workers.iter().map(|worker| worker.available_soon(request.ignores_ending)).collect();
     let mut preemption = Preemption::default();
     let mut counts = vec![0u32; workers.len()];
@@ -59,18 +58,20 @@
         let best = (0..workers.len())
             .filter(|&index| open(index))
             .filter_map(|index| {
-                let (units, cost) = clear(&workers[index], &rooms[index], request, &stopped)?;
-                let rank = (workers[index].deprioritized, cost, rooms[index].accelerators, index);
+                let (units, cost) =
+                    cheapest_victims(&workers[index], &available[index], request, &stopped)?;
+                let rank =
+                    (workers[index].deprioritized, cost, available[index].accelerators, index);
                 Some((rank, units))
             })
             .min_by_key(|(rank, _)| *rank);
         let ((_, cost, _, index), units) = best?;
         loss += cost;
         for unit in units {
-            release(workers, &mut rooms, unit);
+            release(workers, &mut available, unit);
             stopped.insert(unit);
         }
-        rooms[index].subtract(&need);
+        available[index].subtract(&need);
         counts[index] += 1;
         preemption.workers.push(index);
     }
@@ -79,8 +80,8 @@
     Some(preemption)
 }
 
-/// The units to stop on one worker so that a task fits, and what they lose.
-fn clear(
+/// The units to stop on one worker so that a task fits, and the work that is lost by it.
+fn cheapest_victims(
     worker: &WorkerState,
     room: &Resources,
     request: &Request<'_>,
@@ -96,14 +97,14 @@
         units.entry(holder.unit).or_insert((Resources::default(), holder.loss)).0.add(&holder.need);
     }
     while !need.fits(&room) {
-        // The cheapest for each accelerator that it frees.
+        // Stop the unit with the least loss per accelerator that it frees.
         let useful = units.iter().filter(|(unit, _)| !chosen.contains_key(unit));
         let (&unit, &(frees, loss)) =
             useful.min_by_key(|(_, (frees, loss))| loss / (frees.accelerators + 1))?;
         room.add(&frees);
         chosen.insert(unit, (frees, loss));
     }
-    // What turned out not to be needed stays.
+    // Keep the units that turn out not to be needed.
     let order: Vec<u64> = chosen.keys().copied().collect();
     for unit in order {
         let mut without = room;
@@ -117,9 +118,9 @@
     Some((chosen.into_keys().collect(), loss))
 }
 
-/// Frees all places of a unit, on every worker.
-fn release(workers: &[WorkerState], rooms: &mut [Resources], unit: u64) {
-    for (worker, room) in workers.iter().zip(rooms) {
+/// Frees the resources of a unit on all workers.
+fn release(workers: &[WorkerState], available: &mut [Resources], unit: u64) {
+    for (worker, room) in workers.iter().zip(available) {
         for holder in worker.preemptible.iter().filter(|holder| holder.unit == unit) {
             room.add(&holder.need);
         }
--- a/crates/place/src/protection.rs
+++ b/crates/place/src/protection.rs
@@ -1,14 +1,14 @@
-/// How firmly work holds its room: what it gives way to.
+/// The protection of running work against preemption, from least to most.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Protection {
-    /// Of a lower priority: it gives way to all that may take room.
+    /// Work of a lower priority: preempted by anything that may preempt.
     #[default]
     Lower,
-    /// It borrows what is guaranteed to others, at the same priority as theirs: it gives way
-    /// to a guarantee only, and only when that is due.
+    /// Work that borrows what is guaranteed to others of the same priority: preempted only for a
+    /// guarantee, and only when that is due.
     Borrowed,
-    /// Within its own team's guarantee, and begun: it gives way only to a guarantee that is due
-    /// and that nothing else can keep. Where workers are gone, what is left may hold less than is
-    /// guaranteed, and only what has not begun can still break its promise.
+    /// Running work within its own team's guarantee: preempted only for a guarantee that is due
+    /// and can't be met otherwise. After a loss of workers the pool may hold less than is
+    /// guaranteed, and only work that has not begun can still miss the time of its guarantee.
     Guaranteed,
 }
--- a/crates/place/src/worker_state.rs
+++ b/crates/place/src/worker_state.rs
@@ -2,37 +2,36 @@
 
 use crate::protection::Protection;
 
-/// A worker as the decisions see it.
+/// A worker in the snapshot on which placement decides.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerState {
-    /// Names the worker's agent.
+    /// The name of the worker's agent.
     pub name: String,
-    /// Which incarnation of the worker it is.
+    /// The incarnation of the worker.
     pub incarnation: Incarnation,
     /// The pool it belongs to.
     pub pool: String,
-    /// The rack it stands in.
+    /// Its rack.
     pub rack: String,
     /// Its labels.
     pub labels: Vec<String>,
-    /// What it has in all.
+    /// Its total resources.
     pub capacity: Resources,
-    /// What is free.
+    /// Its free resources.
     pub free: Resources,
-    /// What becomes free because runs are being stopped.
+    /// Resources of runs that are being stopped.
     pub stopping: Resources,
-    /// What becomes free about as soon as a stop would make it so, because runs
-    /// end by themselves, going by their progress.
+    /// Resources of runs that, by their progress, end about as soon as a stop would end them.
     pub ending: Resources,
-    /// Its doubtful health: work goes elsewhere if it can.
+    /// Tasks are placed here only if no other worker has room.
     pub deprioritized: bool,
-    /// What could be taken away.
+    /// Work that may be preempted.
     pub preemptible: Vec<Preemptible>,
 }
 
 impl WorkerState {
-    /// What is free now or soon. One that must be `sure` does not count on
-    /// runs that end by themselves: their worker may slow down.
+    /// Resources that are free now or soon. With `ignores_ending`, runs that are about to end are
+    /// left out, since a slow worker may delay their end.
     pub fn available_soon(&self, ignores_ending: bool) -> Resources {
         let mut room = self.free;
         room.add(&self.stopping);
@@ -42,7 +41,7 @@
         room
     }
 
-    /// Sets room aside: what is free, and beyond that what is free soon.
+    /// Reserves resources: free ones first, then those that are free soon.
     pub fn reserve(&mut self, need: &Resources) {
         let mut rest = *need;
         for room in [&mut self.free, &mut self.stopping, &mut self.ending] {
@@ -53,18 +52,17 @@
     }
 }
 
-/// Work that may be taken away from a worker.
+/// Work on a worker that may be preempted.
 #[derive(Clone, Debug, Default)]
 pub struct Preemptible {
-    /// Names the unit that stops as a whole: a task, or a gang, which may
-    /// hold places on several workers.
+    /// The unit that is stopped as a whole: a task, or a gang, which may run on several workers.
     pub unit: u64,
-    /// What it takes here.
+    /// The resources that it holds on this worker.
     pub need: Resources,
-    /// What it gives way to.
+    /// Its protection against preemption.
     pub protection: Protection,
-    /// What stopping the whole unit loses, in core-milliseconds.
+    /// The work that is lost if the whole unit is stopped, in core-milliseconds.
     pub loss: u64,
-    /// It is counted in [`Spot::ending`], too.
+    /// It is also counted in [`WorkerState::ending`].
     pub ending: bool,
 }
