--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -10,11 +10,11 @@
 };
 use quincewheel_wire::Order;
 
-use crate::board::{Barred, Board};
 use crate::candidate::Candidate;
-use crate::entry::{Entry, Phase, Placed};
+use crate::entry::{Entry, Phase, Placement};
 use crate::guide::Guide;
 use crate::owner::{Owner, task};
+use crate::snapshot::{Barred, Snapshot};
 use crate::suspects::{Fresh, one_by_one};
 
 impl Owner {
@@ -22,22 +22,22 @@
     pub(crate) fn plan(&mut self, now: u64, wall: u64) {
         for (id, entry) in &mut self.jobs {
             if entry.job.queue.priority == 0 {
-                entry.note_begun(id);
+                entry.update_has_begun(id);
             }
-            entry.idle = entry.runs.is_empty().then(|| entry.idle.unwrap_or(now));
+            entry.idle_since = entry.runs.is_empty().then(|| entry.idle_since.unwrap_or(now));
         }
         let mut candidates = self.candidates(wall);
         // Guaranteed work whose room is being made comes first: else what ranks before it would
         // take that room, and both would be late in turn.
         candidates.sort_by_key(|candidate| (!self.is_promised(candidate), candidate.rank));
-        let mut board = self.board(now);
+        let mut snapshot = self.snapshot(now);
         self.waits.begin();
         for candidate in &candidates {
-            self.serve(candidate, &mut board, now, wall);
+            self.serve(candidate, &mut snapshot, now, wall);
         }
         // What waits for a suspect to outlive its start is decided by time alone.
-        if board.fresh.values().any(|fresh| *fresh == Fresh::Suspect) {
-            self.look_again(wall + START_ISOLATION_MS);
+        if snapshot.recent_starts.values().any(|fresh| *fresh == Fresh::Suspect) {
+            self.schedule_replan(wall + START_ISOLATION_MS);
         }
         self.note_held_back(now, wall);
         self.tell_waited(now);
@@ -79,7 +79,7 @@
                         // One that has begun and gave way comes after those that have not: it
                         // would take the room back that was made for them.
                         let covered = entry.job.queue.priority == 0
-                            && !entry.gave_way
+                            && !entry.guarantee_preempted
                             && guarantees.try_use(&entry.job.team, need);
                         let rank = Rank {
                             borrowed: !covered,
@@ -95,7 +95,7 @@
             }
         }
         drop(guarantees);
-        self.next_due = next_due;
+        self.replan_at = next_due;
         found
     }
 
@@ -103,7 +103,7 @@
     fn is_promised(&self, candidate: &Candidate) -> bool {
         let place = (candidate.occurrence, candidate.step);
         let entry = self.jobs.get(&candidate.id);
-        candidate.guaranteed() && entry.is_some_and(|entry| entry.reserved.contains_key(&place))
+        candidate.guaranteed() && entry.is_some_and(|entry| entry.reservations.contains_key(&place))
     }
 
     /// What the workers of each pool have in all.
@@ -120,33 +120,33 @@
     ///
     /// A former owner that does not know that it was replaced grants on while
     /// it speaks to most agents, and misses them soon after most follow this owner.
-    pub(crate) fn settled(&mut self, now: u64) -> bool {
-        let heard = self.agents.values().filter(|agent| agent.heard).count();
-        if self.followed.is_none() && heard * 2 >= self.agents.len() {
-            self.followed = Some(now);
+    pub(crate) fn check_settled(&mut self, now: u64) -> bool {
+        let heard = self.agents.values().filter(|agent| agent.reconciled).count();
+        if self.majority_since.is_none() && heard * 2 >= self.agents.len() {
+            self.majority_since = Some(now);
         }
-        let (last, lease) = self.former_grants();
-        self.agents.values().all(|agent| agent.clear(last, lease, now))
+        let (last, lease) = self.predecessor_grants();
+        self.agents.values().all(|agent| agent.is_clear_of_predecessors(last, lease, now))
     }
 
     /// When a former owner granted its last lease at the latest, and how long
     /// that holds.
-    pub(crate) fn former_grants(&self) -> (u64, u64) {
-        let last = match self.followed {
-            None => self.claimed + self.settings.autonomy,
-            Some(_) if self.former_gone => self.claimed,
+    pub(crate) fn predecessor_grants(&self) -> (u64, u64) {
+        let last = match self.majority_since {
+            None => self.claimed_at + self.settings.autonomy,
+            Some(_) if self.predecessor_ended => self.claimed_at,
             // It grants to all until the table has not confirmed it for a while, and then
             // for as long as it takes to miss the agents that follow this owner now.
             Some(since) => {
-                (since + self.settings.fresh).max(self.claimed + self.settings.unconfirmed)
+                (since + self.settings.fresh).max(self.claimed_at + self.settings.unconfirmed)
             }
         };
         (last, self.settings.lease + self.settings.margin)
     }
 
     /// Agents whose workers may still run what a former owner started.
-    pub(crate) fn unheard(&self) -> impl Iterator<Item = &str> {
-        self.agents.iter().filter(|(_, agent)| !agent.heard).map(|(name, _)| name.as_str())
+    pub(crate) fn unreconciled_agents(&self) -> impl Iterator<Item = &str> {
+        self.agents.iter().filter(|(_, agent)| !agent.reconciled).map(|(name, _)| name.as_str())
     }
 
     /// Accelerators that each team's jobs of priority 0 hold.
@@ -162,60 +162,62 @@
     }
 
     /// Starts what it can of one candidate, or makes room for it.
-    fn serve(&mut self, candidate: &Candidate, board: &mut Board, now: u64, wall: u64) {
+    fn serve(&mut self, candidate: &Candidate, snapshot: &mut Snapshot, now: u64, wall: u64) {
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let place = (candidate.occurrence, candidate.step);
-        if let Some(reservation) = entry.reserved.get(&place).cloned() {
-            if self.redeem(candidate, &reservation, board, now) {
-                self.note_reserved(candidate, now);
+        if let Some(reservation) = entry.reservations.get(&place).cloned() {
+            if self.redeem(candidate, &reservation, snapshot, now) {
+                self.record_reserved_wait(candidate, now);
                 return;
             }
             if let Some(entry) = self.jobs.get_mut(&candidate.id) {
-                entry.reserved.remove(&place);
+                entry.reservations.remove(&place);
             }
         }
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let Some(step) = entry.job.steps.get(candidate.step as usize).cloned() else { return };
-        let pool = self.pool(entry);
+        let pool = self.pool_of(entry);
         let barred = Barred {
-            uncleared: self.uncleared(candidate, board, now),
-            avoided: self.avoided(candidate, board, now),
-            apart: self.kept_apart(candidate, board),
+            uncleared: self.uncleared(candidate, snapshot, now),
+            avoided: self.avoided(candidate, snapshot, now),
+            apart: self.kept_apart(candidate, snapshot),
         };
         let places = barred.places();
         let spared = match candidate.suspect {
-            true => self.try_suspect(candidate, (&step, &pool), (board, &places), (now, wall)),
-            false => self.place_on_rest(candidate, (&step, &pool), (board, &places), (now, wall)),
+            true => self.try_suspect(candidate, (&step, &pool), (snapshot, &places), (now, wall)),
+            false => {
+                self.place_elsewhere(candidate, (&step, &pool), (snapshot, &places), (now, wall))
+            }
         };
-        if self.unplaced(candidate) == 0 {
+        if self.unplaced_tasks(candidate) == 0 {
             return;
         }
         if !barred.apart.is_empty() {
-            self.look_again(wall + START_ISOLATION_MS);
+            self.schedule_replan(wall + START_ISOLATION_MS);
         }
         if !barred.uncleared.is_empty() {
-            self.ask(candidate, roomiest(&barred.uncleared, board, &pool, &step.label), now);
+            self.ask(candidate, roomiest(&barred.uncleared, snapshot, &pool, &step.label), now);
         }
-        let bars = board.bars(&spared, &barred);
-        self.note_wait(candidate, board, &bars, now);
+        let bars = snapshot.bars(&spared, &barred);
+        self.record_wait(candidate, snapshot, &bars, now);
     }
 
     /// Starts what it can of one candidate on the workers at other places than these.
-    pub(crate) fn place_on_rest(
+    pub(crate) fn place_elsewhere(
         &mut self,
         candidate: &Candidate,
         (step, pool): (&Step, &str),
-        (board, barred): (&mut Board, &[usize]),
+        (snapshot, barred): (&mut Snapshot, &[usize]),
         time: (u64, u64),
     ) -> Vec<usize> {
-        let hidden = board.hide(barred);
-        let spared = self.place(candidate, step, pool, board, time);
-        board.show(hidden);
+        let hidden = snapshot.hide(barred);
+        let spared = self.place(candidate, step, pool, snapshot, time);
+        snapshot.show(hidden);
         spared
     }
 
     /// Tasks of it that have no place yet.
-    pub(crate) fn unplaced(&self, candidate: &Candidate) -> usize {
+    pub(crate) fn unplaced_tasks(&self, candidate: &Candidate) -> usize {
         let Some(entry) = self.jobs.get(&candidate.id) else { return 0 };
         let key = |index: u32| (candidate.occurrence, candidate.step, index);
         candidate.tasks.iter().filter(|&&index| !entry.runs.contains_key(&key(index))).count()
@@ -223,14 +225,14 @@
 
     /// The places whose workers the step is not cleared for; none on a queue
     /// that needs no clearance.
-    fn uncleared(&self, candidate: &Candidate, board: &Board, now: u64) -> Vec<usize> {
+    fn uncleared(&self, candidate: &Candidate, snapshot: &Snapshot, now: u64) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
         if entry.job.queue.advice.is_none() {
             return Vec::new();
         }
         let key = (candidate.occurrence, candidate.step, 0);
         let cleared = |spot: &WorkerState| entry.ticket(key, &spot.incarnation, now).is_some();
-        let places = board.spots.iter().enumerate();
+        let places = snapshot.spots.iter().enumerate();
         places.filter(|(_, spot)| !cleared(spot)).map(|(place, _)| place).collect()
     }
 
@@ -241,11 +243,11 @@
         candidate: &Candidate,
         step: &Step,
         pool: &str,
-        board: &mut Board,
+        snapshot: &mut Snapshot,
         (now, wall): (u64, u64),
     ) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
-        let held = held(entry, (candidate.occurrence, candidate.step), &board.spots);
+        let held = held(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
         let count = candidate.tasks.len() as u32;
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
         let patient = wall < begin + PATIENCE;
@@ -259,26 +261,27 @@
             tasks_by_worker: &held,
         };
         let waits_until =
-            self.waits_until(candidate, is_half_free(&board.spots, pool), (now, wall));
-        let spared =
-            waits_until.map(|_| reserve_whole_workers(&mut board.spots, pool)).unwrap_or_default();
-        let choices = pack(&board.spots, &ask);
-        let spared = release_whole_workers(&mut board.spots, spared);
+            self.waits_until(candidate, is_half_free(&snapshot.spots, pool), (now, wall));
+        let spared = waits_until
+            .map(|_| reserve_whole_workers(&mut snapshot.spots, pool))
+            .unwrap_or_default();
+        let choices = pack(&snapshot.spots, &ask);
+        let spared = release_whole_workers(&mut snapshot.spots, spared);
         let started = choices.len();
         if started < candidate.tasks.len() {
             // Time alone gives it places that it leaves to others now.
             let patience = Some(begin + PATIENCE).filter(|_| patient);
             for at in [waits_until, patience].into_iter().flatten() {
-                self.look_again(at);
+                self.schedule_replan(at);
             }
         }
         let pairs: Vec<(u32, usize)> =
             candidate.tasks.iter().copied().zip(choices.iter().copied()).collect();
-        self.start(candidate, step, &pairs, board, now);
+        self.start_tasks(candidate, step, &pairs, snapshot, now);
         // Nobody gives way to what may crash the worker that is cleared for it.
         let takes = candidate.rank.may_preempt() && !candidate.suspect;
         if takes && started < candidate.tasks.len() {
-            self.make_room(candidate, step, pool, started, board, (now, wall));
+            self.make_room(candidate, step, pool, started, snapshot, (now, wall));
         }
         spared
     }
@@ -297,7 +300,7 @@
         (now, wall): (u64, u64),
     ) -> Option<u64> {
         let until = candidate.rank.yields_workers_until().filter(|&until| until > wall)?;
-        let idle = self.jobs.get(&candidate.id).and_then(|entry| entry.idle);
+        let idle = self.jobs.get(&candidate.id).and_then(|entry| entry.idle_since);
         match idle.filter(|_| half_free) {
             Some(since) if now >= since + IDLE => None,
             Some(since) => Some(until.min(wall + since + IDLE - now)),
@@ -306,34 +309,34 @@
     }
 
     /// Sees to it that the next round is no later than this time of day.
-    pub(crate) fn look_again(&mut self, at: u64) {
-        self.next_due = Some(self.next_due.map_or(at, |due| due.min(at)));
+    pub(crate) fn schedule_replan(&mut self, at: u64) {
+        self.replan_at = Some(self.replan_at.map_or(at, |due| due.min(at)));
     }
 
     /// The pool that runs a job now: a configuration may have moved its queue.
-    pub(crate) fn pool(&self, entry: &Entry) -> String {
+    pub(crate) fn pool_of(&self, entry: &Entry) -> String {
         let queue = self.config.queues.get(&entry.job.queue.name);
         queue.unwrap_or(&entry.job.queue).pool.clone()
     }
 
     /// Orders the start of tasks on the chosen workers.
-    pub(crate) fn start(
+    pub(crate) fn start_tasks(
         &mut self,
         candidate: &Candidate,
         step: &Step,
         pairs: &[(u32, usize)],
-        board: &mut Board,
+        snapshot: &mut Snapshot,
         now: u64,
     ) {
         let need = step.resources();
         let gang_unit = self.next_unit;
         for &(index, place) in pairs {
-            let spot = &mut board.spots[place];
+            let spot = &mut snapshot.spots[place];
             spot.free.subtract(&need);
-            board.actual[place].subtract(&need);
+            snapshot.actual_free[place].subtract(&need);
             let name = spot.name.clone();
             let fresh = if candidate.suspect { Fresh::Suspect } else { Fresh::Any };
-            fresh.note(&mut board.fresh, place);
+            fresh.note(&mut snapshot.recent_starts, place);
             let Some(worker) = self.agents.get(&name).and_then(|agent| agent.worker.as_ref())
             else {
                 continue;
@@ -344,9 +347,9 @@
             self.next_unit = self.next_unit.max(unit) + 1;
             let first = pairs.first().is_some_and(|pair| pair.0 == index);
             let Some(entry) = self.jobs.get_mut(&candidate.id) else { return };
-            let slot = entry.key(key);
+            let slot = entry.slot(key);
             let base = (self.epoch - 1) * RUNS_PER_EPOCH;
-            let number = entry.numbers.entry(slot).or_insert(base);
+            let number = entry.run_numbers.entry(slot).or_insert(base);
             *number = (*number).max(base);
             if first || !step.gang {
                 *number += 1;
@@ -355,27 +358,27 @@
             let saved = entry.saved.get(&slot).cloned().unwrap_or_default();
             let spec = entry.job.spec.clone();
             let ticket = entry.ticket(key, &worker, now).unwrap_or_default().to_owned();
-            let placed = Placed {
+            let placed = Placement {
                 agent: name.clone(),
                 worker: worker.clone(),
                 run,
                 phase: Phase::Starting,
-                since: now,
-                began: now,
+                updated_at: now,
+                started_at: now,
                 unit,
                 percent: 0,
-                confirmed: None,
-                moved: now,
+                confirmed_at: None,
+                progressed_at: now,
                 pace: 100,
-                whole: saved.is_empty(),
-                listed: None,
-                outlived: false,
-                yields_to: None,
+                from_scratch: saved.is_empty(),
+                first_listed_at: None,
+                survived_start: false,
+                preempted_by: None,
             };
             entry.runs.insert(key, placed);
             let task = task(&candidate.id, key);
             self.log("start", &candidate.id, format!("{task} run {run} at {name}"));
-            self.order(
+            self.send_to_agent(
                 &name,
                 Order::Start { worker, task, run, spec, saved, ticket, again: false },
             );
@@ -399,7 +402,7 @@
     let progress = &entry.progress;
     if progress.is_step_done(occurrence, number, step)
         || !progress.is_step_ready(&entry.job, occurrence, step)
-        || (step.gang && entry.placed(occurrence, number))
+        || (step.gang && entry.has_runs(occurrence, number))
     {
         return Vec::new();
     }
@@ -412,12 +415,12 @@
 
 /// The workers at these places that could run a step, those with the most room
 /// first.
-fn roomiest(places: &[usize], board: &Board, pool: &str, label: &String) -> Vec<Incarnation> {
+fn roomiest(places: &[usize], snapshot: &Snapshot, pool: &str, label: &String) -> Vec<Incarnation> {
     let fits = |spot: &&WorkerState| {
         spot.pool == pool && (label.is_empty() || spot.labels.contains(label))
     };
     let mut spots: Vec<&WorkerState> =
-        places.iter().map(|&place| &board.spots[place]).filter(fits).collect();
+        places.iter().map(|&place| &snapshot.spots[place]).filter(fits).collect();
     spots.sort_by_key(|spot| std::cmp::Reverse(spot.free.accelerators));
     spots.into_iter().map(|spot| spot.incarnation.clone()).collect()
 }
