--- a/crates/place/tests/packing.rs
+++ b/crates/place/tests/packing.rs
@@ -1,10 +1,10 @@
-//! Where tasks go on a pool of three racks of two workers with 8 accelerators.
+//! Placement and preemption in a pool of three racks of two workers with 8 accelerators each.
 
 use insta::assert_snapshot;
 use quincewheel_job::{Resources, Step};
 use quincewheel_place::{Preemptible, Protection, Request, WorkerState, pack, plan_preemption};
 
-/// Workers with so many accelerators free each.
+/// Workers with the given numbers of free accelerators.
 fn pool(free: [u64; 6]) -> Vec<WorkerState> {
     let spot = |(number, free): (usize, u64)| WorkerState {
         name: format!("w{number}"),
@@ -30,8 +30,8 @@
     Step { gang: true, same_rack: true, ..step(count, accelerators) }
 }
 
-fn packed(spots: &[WorkerState], step: &Step) -> String {
-    let ask = Request {
+fn packed(workers: &[WorkerState], step: &Step) -> String {
+    let request = Request {
         step,
         pool: "p",
         count: step.count,
@@ -40,25 +40,25 @@
         ignores_ending: true,
         tasks_by_worker: &[],
     };
-    format!("{:?}", pack(spots, &ask))
+    format!("{:?}", pack(workers, &request))
 }
 
 #[test]
-fn small_tasks_fill_what_is_begun_and_keep_whole_workers_whole() {
-    let spots = pool([8, 3, 8, 1, 8, 8]);
-    assert_snapshot!(packed(&spots, &step(4, 1)), @r"[3, 1, 1, 1]");
+fn small_tasks_fill_partly_used_workers_first() {
+    let workers = pool([8, 3, 8, 1, 8, 8]);
+    assert_snapshot!(packed(&workers, &step(4, 1)), @r"[3, 1, 1, 1]");
 }
 
 #[test]
-fn a_gang_goes_whole_onto_the_fullest_rack_that_holds_it_or_waits() {
-    let told = [
+fn a_gang_is_placed_whole_in_the_fullest_rack_that_holds_it_or_waits() {
+    let lines = [
         packed(&pool([8, 8, 8, 4, 8, 8]), &gang(3, 4)),
         packed(&pool([4, 4, 4, 4, 4, 4]), &gang(3, 4)),
         packed(&pool([4, 4, 4, 4, 4, 4]), &gang(5, 4)),
         packed(&pool([4, 4, 4, 4, 4, 4]), &Step { same_rack: false, ..gang(5, 4) }),
         packed(&pool([0, 4, 4, 4, 4, 4]), &Step { same_rack: false, ..gang(6, 4) }),
     ];
-    assert_snapshot!(told.join("\n"), @r"
+    assert_snapshot!(lines.join("\n"), @r"
     [3, 2, 2]
     []
     [0, 1, 2, 3, 4]
@@ -67,16 +67,15 @@
     ");
 }
 
-// Symptom: a gang stands still for seconds while most of the pool is idle.
-// Sequence: a little work goes on in each rack, and other small jobs follow it.
-// Cause: a gang that wants one rack waited for it without end.
+// A gang that needs one rack waited for seconds in a mostly idle pool, since a little work kept
+// running in each rack.
 #[test]
-fn a_gang_that_lost_its_patience_is_spread_if_half_of_the_pool_is_free() {
+fn a_gang_that_no_longer_waits_for_a_rack_is_spread_if_half_of_the_pool_is_free() {
     let step = gang(3, 4);
     let (half, less) = ([7, 3, 7, 3, 7, 3], [4, 3, 4, 3, 4, 3]);
-    let told = [(half, true), (half, false), (less, false)].map(|(free, patient)| {
-        let spots = pool(free);
-        let ask = Request {
+    let lines = [(half, true), (half, false), (less, false)].map(|(free, patient)| {
+        let workers = pool(free);
+        let request = Request {
             step: &step,
             pool: "p",
             count: 3,
@@ -85,9 +84,9 @@
             ignores_ending: false,
             tasks_by_worker: &[],
         };
-        format!("{:?}", pack(&spots, &ask))
+        format!("{:?}", pack(&workers, &request))
     });
-    assert_snapshot!(told.join("\n"), @r"
+    assert_snapshot!(lines.join("\n"), @r"
     []
     [0, 2, 4]
     []
@@ -95,15 +94,15 @@
 }
 
 #[test]
-fn labels_data_and_limits_a_worker_are_kept() {
-    let spots = pool([8, 8, 8, 8, 8, 8]);
-    let told = [
-        packed(&spots, &Step { label: "b".into(), ..step(2, 2) }),
-        packed(&spots, &Step { near: "r1".into(), ..step(2, 4) }),
-        packed(&spots, &Step { per_worker: 1, ..step(3, 1) }),
-        packed(&spots, &step(1, 9)),
+fn labels_data_racks_and_limits_per_worker_are_respected() {
+    let workers = pool([8, 8, 8, 8, 8, 8]);
+    let lines = [
+        packed(&workers, &Step { label: "b".into(), ..step(2, 2) }),
+        packed(&workers, &Step { near: "r1".into(), ..step(2, 4) }),
+        packed(&workers, &Step { per_worker: 1, ..step(3, 1) }),
+        packed(&workers, &step(1, 9)),
     ];
-    assert_snapshot!(told.join("\n"), @r"
+    assert_snapshot!(lines.join("\n"), @r"
     [5, 5]
     [2, 2]
     [0, 1, 2]
@@ -112,15 +111,15 @@
 }
 
 #[test]
-fn a_doubtful_worker_is_the_last_choice() {
-    let mut spots = pool([2, 8, 0, 0, 0, 0]);
-    spots[0].deprioritized = true;
-    assert_snapshot!(packed(&spots, &step(1, 1)), @"[1]");
+fn a_deprioritized_worker_is_the_last_choice() {
+    let mut workers = pool([2, 8, 0, 0, 0, 0]);
+    workers[0].deprioritized = true;
+    assert_snapshot!(packed(&workers, &step(1, 1)), @"[1]");
 }
 
 #[test]
-fn room_is_made_where_least_is_lost_and_no_victim_stops_in_vain() {
-    let mut spots = pool([0, 0, 4, 0, 0, 0]);
+fn preemption_loses_least_and_stops_no_more_than_needed() {
+    let mut workers = pool([0, 0, 4, 0, 0, 0]);
     let holder = |unit, accelerators, loss| Preemptible {
         unit,
         need: need(accelerators),
@@ -128,11 +127,11 @@
         loss,
         ending: false,
     };
-    spots[0].preemptible = vec![holder(1, 8, 900)];
-    spots[1].preemptible = vec![holder(2, 4, 50), holder(3, 4, 60), holder(4, 1, 1)];
-    spots[2].preemptible = vec![holder(5, 4, 500)];
-    let ask = |step: &Step| {
-        let ask = Request {
+    workers[0].preemptible = vec![holder(1, 8, 900)];
+    workers[1].preemptible = vec![holder(2, 4, 50), holder(3, 4, 60), holder(4, 1, 1)];
+    workers[2].preemptible = vec![holder(5, 4, 500)];
+    let plan = |step: &Step| {
+        let request = Request {
             step,
             pool: "p",
             count: step.count,
@@ -141,11 +140,11 @@
             ignores_ending: true,
             tasks_by_worker: &[],
         };
-        let claim = plan_preemption(&spots, &ask);
+        let claim = plan_preemption(&workers, &request);
         claim.map_or("none".to_owned(), |c| format!("{:?} {:?} {}", c.workers, c.victims, c.loss))
     };
-    let told = [ask(&step(1, 8)), ask(&step(1, 4)), ask(&gang(2, 8)), ask(&gang(4, 8))];
-    assert_snapshot!(told.join("\n"), @r"
+    let lines = [plan(&step(1, 8)), plan(&step(1, 4)), plan(&gang(2, 8)), plan(&gang(4, 8))];
+    assert_snapshot!(lines.join("\n"), @r"
     [1] {2, 3} 110
     [2] {} 0
     [1, 0] {1, 2, 3} 1010
@@ -153,12 +152,12 @@
     ");
 }
 
-// Symptom: urgent jobs stop runs that are all but done, and their work is thrown away.
-// Sequence: a full worker; its run ends sooner than a stop would take; a job that need
-// not be sure of its room wants the place. Cause: only what was free counted as room.
+// Urgent jobs preempted runs that would have ended sooner than a stop takes, and their work was
+// lost, because only free resources counted as available. A request that ignores ending runs may
+// still preempt them.
 #[test]
-fn work_that_ends_by_itself_is_waited_for_but_not_where_room_is_promised() {
-    let mut spots = pool([0, 0, 0, 0, 0, 0]);
+fn runs_that_are_about_to_end_are_waited_for_unless_the_request_ignores_them() {
+    let mut workers = pool([0, 0, 0, 0, 0, 0]);
     let holder = |unit, loss, ending| Preemptible {
         unit,
         need: need(8),
@@ -166,12 +165,12 @@
         ending,
         ..Preemptible::default()
     };
-    spots[1].preemptible.push(holder(1, 100, false));
-    spots[2].preemptible.push(holder(2, 50, true));
-    spots[2].ending = need(8);
+    workers[1].preemptible.push(holder(1, 100, false));
+    workers[2].preemptible.push(holder(2, 50, true));
+    workers[2].ending = need(8);
     let step = step(1, 8);
-    let told = [false, true].map(|sure| {
-        let ask = Request {
+    let lines = [false, true].map(|sure| {
+        let request = Request {
             step: &step,
             pool: "p",
             count: 1,
@@ -180,22 +179,22 @@
             ignores_ending: sure,
             tasks_by_worker: &[],
         };
-        let claim = plan_preemption(&spots, &ask).unwrap_or_default();
+        let claim = plan_preemption(&workers, &request).unwrap_or_default();
         format!("sure {sure}: at {:?}, stopping {:?}", claim.workers, claim.victims)
     });
-    assert_snapshot!(told.join("\n"), @r"
+    assert_snapshot!(lines.join("\n"), @r"
     sure false: at [2], stopping {}
     sure true: at [2], stopping {2}
     ");
 }
 
 #[test]
-fn room_that_others_are_stopped_for_is_not_counted_twice() {
-    let mut spots = pool([0, 0, 0, 0, 0, 0]);
-    spots[3].stopping = need(8);
-    spots[3].reserve(&need(8));
+fn reserved_resources_are_not_counted_twice() {
+    let mut workers = pool([0, 0, 0, 0, 0, 0]);
+    workers[3].stopping = need(8);
+    workers[3].reserve(&need(8));
     let step = step(1, 8);
-    let ask = Request {
+    let request = Request {
         step: &step,
         pool: "p",
         count: 1,
@@ -204,14 +203,14 @@
         ignores_ending: true,
         tasks_by_worker: &[],
     };
-    assert_snapshot!(format!("{:?}", plan_preemption(&spots, &ask)), @"None");
+    assert_snapshot!(format!("{:?}", plan_preemption(&workers, &request)), @"None");
 }
 
-// Pattern: what is left of a pool holds less than its teams are guaranteed. Each kind of work gives way
-// only to what is entitled to its room.
+// After a loss of workers a pool may hold less than its teams are guaranteed. Each kind of work is
+// preempted only for work that is entitled to its resources.
 #[test]
-fn work_gives_way_by_how_firmly_it_holds_its_room() {
-    let mut spots = pool([0, 0, 0, 0, 0, 0]);
+fn work_is_preempted_by_its_protection() {
+    let mut workers = pool([0, 0, 0, 0, 0, 0]);
     let holds = [Protection::Guaranteed, Protection::Borrowed, Protection::Lower];
     for ((place, hold), loss) in holds.into_iter().enumerate().zip([1, 50, 900]) {
         let holder = Preemptible {
@@ -221,11 +220,11 @@
             loss,
             ending: false,
         };
-        spots[place].preemptible.push(holder);
+        workers[place].preemptible.push(holder);
     }
     let step = step(1, 8);
-    let told = [Protection::Lower, Protection::Borrowed, Protection::Guaranteed].map(|over| {
-        let ask = Request {
+    let lines = [Protection::Lower, Protection::Borrowed, Protection::Guaranteed].map(|over| {
+        let request = Request {
             step: &step,
             pool: "p",
             count: 1,
@@ -234,9 +233,12 @@
             ignores_ending: true,
             tasks_by_worker: &[],
         };
-        format!("{over:?}: stops {:?}", plan_preemption(&spots, &ask).unwrap_or_default().victims)
+        format!(
+            "{over:?}: stops {:?}",
+            plan_preemption(&workers, &request).unwrap_or_default().victims
+        )
     });
-    assert_snapshot!(told.join("\n"), @r"
+    assert_snapshot!(lines.join("\n"), @r"
     Lower: stops {2}
     Borrowed: stops {1}
     Guaranteed: stops {0}
