--- a/crates/pool/src/adjacency.rs
+++ b/crates/pool/src/adjacency.rs
@@ -1,6 +1,6 @@
 use serde::{Deserialize, Serialize};
 
-/// How near to one another the tasks of a gang must be.
+/// How close together the tasks of a gang must run.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Adjacency {
     /// Anywhere in the pool.
--- a/crates/pool/src/availability.rs
+++ b/crates/pool/src/availability.rs
@@ -1,4 +1,4 @@
-//! What a search may use: views of the pool as a [`Tally`].
+//! The accelerators that a search may use: views of the pool as a [`Tally`].
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,25 +8,25 @@
 use crate::cell;
 use crate::demand::Demand;
 use crate::pool::{Claim, Pool};
-use crate::tally::{Layout, Spot, Tally};
+use crate::tally::{Layout, Tally, WorkerCells};
 use crate::worker::Worker;
 
 impl Pool {
-    /// What a job may use now: free cells on serving workers, less those kept
-    /// for others. A place that is kept until its holders end by themselves may
-    /// be used by a job that is expected to end before them.
-    pub(crate) fn vacant(&self, demand: &Demand, now: Duration) -> Tally {
-        let ends = now + self.estimates.expect(demand);
+    /// What a job may use now: free cells on serving workers, less those that are claimed by other
+    /// jobs. A claim that waits for its holders to end may be used by a job that is expected to end
+    /// before them.
+    pub(crate) fn available_to(&self, demand: &Demand, now: Duration) -> Tally {
+        let ends = now + self.estimates.expected_duration(demand);
         let kept = |claim: &Claim| claim.ready.is_none_or(|ready| ends > ready);
         self.tally(&demand.avoided_workers, kept, Worker::free)
     }
 
-    /// What is free and not kept for anybody.
-    pub(crate) fn spare(&self) -> Tally {
+    /// What is free and not claimed.
+    pub(crate) fn unclaimed(&self) -> Tally {
         self.tally(&[], |_| true, Worker::free)
     }
 
-    /// What could be had for guarantees: all but what guaranteed jobs hold.
+    /// What is available to guaranteed jobs: all but what other guaranteed jobs hold or claim.
     pub(crate) fn reclaimable(&self, avoid: &[String]) -> Tally {
         let kept = |claim: &Claim| claim.share.is_some();
         let secure = |job: &JobId| self.holdings.get(job).is_some_and(|h| h.share.is_some());
@@ -34,25 +34,25 @@
             let held = worker.held.iter().filter(|(job, _)| secure(job));
             held.fold(cell::full(worker.accelerators), |free, (_, mask)| free & !mask)
         });
-        // Slots that borrowed work fills can be had back with its cells.
-        for (at, (name, worker)) in self.workers.iter().enumerate() {
-            let spot = tally.spot(at);
-            if spot.free != 0 {
+        // Slots of borrowed work are reclaimed together with its cells.
+        for (index, (name, worker)) in self.workers.iter().enumerate() {
+            let cells = tally.worker_mut(index);
+            if cells.free != 0 {
                 let borrowed = worker.held.keys().filter(|job| !secure(job));
-                spot.slots += borrowed.map(|job| self.tasks_of(*job, name)).sum::<u32>();
+                cells.slots += borrowed.map(|job| self.tasks_of(*job, name)).sum::<u32>();
             }
         }
         tally
     }
 
-    /// Tasks that a job has on a worker.
+    /// The number of tasks of a job on a worker.
     pub(crate) fn tasks_of(&self, job: JobId, worker: &str) -> u32 {
         let places = self.holdings.get(&job).map(|holding| &holding.places);
         places.map_or(0, |places| places.iter().filter(|(name, _)| name == worker).count() as u32)
     }
 
-    /// Everything that serves and is not kept for anybody.
-    pub(crate) fn whole(&self, avoid: &[String]) -> Tally {
+    /// All accelerators of serving workers that are not claimed, held or not.
+    pub(crate) fn unclaimed_or_held(&self, avoid: &[String]) -> Tally {
         self.tally(avoid, |_| true, |worker| cell::full(worker.accelerators))
     }
 
@@ -69,21 +69,21 @@
             entry.0 |= mask;
             entry.1 += 1;
         }
-        let spot = |(name, worker): (&String, &Worker)| {
+        let cells = |(name, worker): (&String, &Worker)| {
             let worker_name = Arc::clone(&worker.name);
             if !worker.serving() || avoid.contains(name) {
-                return Spot { worker: worker_name, free: 0, slots: 0 };
+                return WorkerCells { worker: worker_name, free: 0, slots: 0 };
             }
             let (claimed, tasks) = taken.get(name.as_str()).copied().unwrap_or_default();
             let free = free(worker) & !claimed;
             let slots = worker.slots.saturating_sub(worker.tasks + tasks);
-            Spot { worker: worker_name, free, slots }
+            WorkerCells { worker: worker_name, free, slots }
         };
-        let spots = self.workers.iter().map(spot).collect();
-        Tally::new(self.layout(), spots)
+        let all = self.workers.iter().map(cells).collect();
+        Tally::new(self.layout(), all)
     }
 
-    /// Where the workers are, in the order of their names.
+    /// The layout of the workers, in the order of their names.
     pub(crate) fn layout(&self) -> Arc<Layout> {
         match &self.layout {
             Some(layout) => Arc::clone(layout),
--- a/crates/pool/src/cell.rs
+++ b/crates/pool/src/cell.rs
@@ -11,8 +11,8 @@
     (0..64 / size).map(move |i| cell << (i * size)).filter(move |mask| free & mask == *mask)
 }
 
-/// Number of aligned cells of `size` within `free`. Searches ask this of every
-/// worker, so it folds neighbours together instead of looking at each cell.
+/// Number of aligned cells of `size` within `free`. Searches call it for every worker, so it
+/// combines neighbouring bits instead of testing each cell.
 pub fn count(free: u64, size: u32) -> u32 {
     let pairs = free & (free >> 1);
     let quads = pairs & (pairs >> 2);
@@ -25,20 +25,19 @@
     }
 }
 
-/// The cell of `size` whose taking breaks the smallest larger cell. Splitting
-/// a pair that is already broken keeps quads and whole workers for the gangs
-/// that need them.
+/// The free cell of `size` in the smallest free enclosing cell. Using up a cell that is already
+/// split keeps larger cells and whole workers for the gangs that need them.
 pub fn tightest(free: u64, size: u32) -> Option<u64> {
     within(free, size).min_by_key(|mask| enclosing(free, *mask, size))
 }
 
-/// Size of the largest aligned, wholly free cell around `mask`.
+/// Size of the largest aligned cell around `mask` that is wholly free.
 fn enclosing(free: u64, mask: u64, size: u32) -> u32 {
-    let at = mask.trailing_zeros();
+    let offset = mask.trailing_zeros();
     let mut size = size;
     while size < 64 {
         let wider = size * 2;
-        let cell = full(wider) << (at / wider * wider);
+        let cell = full(wider) << (offset / wider * wider);
         if free & cell != cell {
             break;
         }
--- a/crates/pool/src/command.rs
+++ b/crates/pool/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands: they change the pool.
+//! Commands, which change the pool.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::worker::{Condition, Worker};
 
 impl Pool {
-    /// Adds a worker, or takes note that it changed. What it holds stays.
+    /// Adds a worker or updates its place and size. Its jobs stay.
     pub fn put_worker(
         &mut self,
         name: &str,
@@ -28,7 +28,7 @@
         self.layout = None;
     }
 
-    /// Forgets a worker and what it holds.
+    /// Removes a worker and the accelerators that jobs hold on it.
     pub fn remove_worker(&mut self, name: &str) {
         self.workers.remove(name);
         self.layout = None;
@@ -36,7 +36,7 @@
         self.drop_claims_on(name);
     }
 
-    /// Says whether a worker may be given new work.
+    /// Sets the condition of a worker. One that stops serving loses the claims on it.
     pub fn set_condition(&mut self, name: &str, condition: Condition) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.condition = condition;
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Claims on a worker that is gone would wait for ever: their jobs plan anew.
+    /// Drops claims that include a worker that no longer serves. They would wait forever, so their
+    /// jobs are planned again.
     fn drop_claims_on(&mut self, name: &str) {
         self.claims.retain(|_, claim| claim.placement.iter().all(|(worker, _)| worker != name));
     }
@@ -55,7 +56,7 @@
         self.teams.entry(team.to_owned()).or_default().quota = quota;
     }
 
-    /// Sets a team's guaranteed shapes. Ask [`Pool::misfit`] first.
+    /// Sets a team's guaranteed shapes. Check them with [`Pool::unsatisfiable_share`] first.
     pub fn put_shares(&mut self, team: &str, shares: Vec<Share>) {
         self.teams.entry(team.to_owned()).or_default().shares = shares;
     }
@@ -65,13 +66,14 @@
         self.waiting.insert(job, demand);
     }
 
-    /// Takes a job out of its queue. False if it was not waiting.
+    /// Removes a job from its queue. False if it was not waiting.
     pub fn withdraw(&mut self, job: JobId) -> bool {
         self.claims.remove(&job);
         self.waiting.remove(&job).is_some()
     }
 
-    /// Notes a job found running at `worker`, as after a takeover.
+    /// Records a job that was found running on a worker, as after a takeover of ownership. `place`
+    /// is the worker and the mask of accelerators.
     pub fn adopt(
         &mut self,
         job: JobId,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Gives back what a job holds on `worker`.
+    /// Releases the accelerators that a job holds on `worker`.
     pub fn release(&mut self, job: JobId, worker: &str) {
         let Some(holding) = self.holdings.get_mut(&job) else { return };
         let before = holding.places.len();
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Notes how long a job of this team and shape ran that was declared so.
+    /// Records how long a job of this team and shape ran, to correct later declarations.
     pub fn record_duration(
         &mut self,
         team: &str,
@@ -136,14 +138,14 @@
         declared: Duration,
         ran: Duration,
     ) {
-        self.estimates.learn(team, shape.total_accelerators(), declared, ran);
+        self.estimates.record(team, shape.total_accelerators(), declared, ran);
     }
 
-    /// Notes that a job ended well on a worker, or that it failed there.
-    /// A worker on which distinct jobs fail in a row is quarantined: it would
-    /// otherwise attract work, since what fails at once frees its place at once.
-    pub fn record_outcome(&mut self, job: JobId, worker: &str, good: bool) {
-        if good {
+    /// Records that a job succeeded on a worker, or failed there. A worker on which distinct jobs
+    /// fail in a row is quarantined: it would otherwise attract work, since jobs that fail at once
+    /// free their accelerators at once.
+    pub fn record_outcome(&mut self, job: JobId, worker: &str, succeeded: bool) {
+        if succeeded {
             self.strikes.remove(worker);
             return;
         }
--- a/crates/pool/src/decide.rs
+++ b/crates/pool/src/decide.rs
@@ -1,4 +1,4 @@
-//! The command that starts and reclaims.
+//! The command that starts jobs and reclaims borrowed accelerators.
 
 use std::time::Duration;
 
@@ -12,34 +12,34 @@
 use crate::tally::Tally;
 use crate::{JobId, Placement};
 
-/// How much dearer it is to stop work that may not run again.
-const FINAL_LOSS: u128 = 1_000_000;
-/// What a checkpoint and a restart from it cost, as far as decisions go.
-const MOVE: Duration = Duration::from_secs(60);
-/// Places that are kept at once for waiting jobs until their holders end.
-const DRAINS: usize = 1;
-/// Places that are looked at for one reclaim.
-const TRIES: usize = 16;
-/// Waiting jobs looked at in one decision, once so many did not fit.
-const MISSES: usize = 64;
+/// Factor on the loss of stopping a job that can't run again.
+const UNRESTARTABLE_LOSS_FACTOR: u128 = 1_000_000;
+/// Assumed cost per accelerator of moving a job: a checkpoint and a restart from it.
+const MOVE_COST: Duration = Duration::from_secs(60);
+/// Maximum number of placements kept at a time for waiting jobs until the holders end.
+const MAX_WAITING_CLAIMS: usize = 1;
+/// Maximum number of placements considered for one reclaim.
+const MAX_RECLAIM_CANDIDATES: usize = 16;
+/// A decision ends after this many waiting jobs that did not fit.
+const MAX_MISSES: usize = 64;
 
 impl Pool {
-    /// Starts what can start and asks borrowed work to give way where a
-    /// guaranteed job cannot start otherwise.
+    /// Starts all jobs that can start, and reclaims borrowed accelerators where a guaranteed job
+    /// can't start otherwise.
     pub fn decide(&mut self, now: Duration) -> Vec<Decision> {
         let mut decisions = Vec::new();
         self.layout = Some(self.layout());
-        // What is free and kept for nobody, for all jobs of this decision.
+        // Free and unclaimed accelerators, computed once for all jobs of this decision.
         let mut spare = None;
-        let mut stuck: Vec<(Shape, bool)> = Vec::new();
+        let mut unplaceable: Vec<(Shape, bool)> = Vec::new();
         let mut misses = 0;
         for job in self.order(now) {
             let demand = self.waiting[&job].clone();
-            let covered = self.covered(job, &demand);
-            // Equal shapes fail alike; this keeps a long queue linear.
+            let covered = self.is_covered(job, &demand);
+            // Skip shapes that did not fit before, so that the time is linear in the queue.
             let alike = (demand.shape, covered);
             let fresh = demand.avoided_workers.is_empty() && !self.claims.contains_key(&job);
-            if fresh && stuck.contains(&alike) {
+            if fresh && unplaceable.contains(&alike) {
                 continue;
             }
             if self.try_start(job, &demand, now, &mut spare, &mut decisions) {
@@ -49,23 +49,23 @@
                 spare = None;
             }
             if fresh {
-                stuck.push(alike);
+                unplaceable.push(alike);
             }
             misses += 1;
-            if misses >= MISSES {
+            if misses >= MAX_MISSES {
                 break;
             }
         }
         decisions
     }
 
-    fn covered(&self, job: JobId, demand: &Demand) -> bool {
+    fn is_covered(&self, job: JobId, demand: &Demand) -> bool {
         self.claims.get(&job).is_some_and(|claim| claim.share.is_some())
             || self.share_for(&demand.team, &demand.shape).is_some()
     }
 
-    /// Starts the job, or sees that its place is being freed. False if there is
-    /// no place for it.
+    /// Starts the job if possible. Also true if its placement is being freed or its team is at its
+    /// quota; false if there is no placement for it.
     fn try_start(
         &mut self,
         job: JobId,
@@ -85,27 +85,27 @@
                 return true;
             }
             let freeing = claim.ready.is_none()
-                && (claim.share.is_some() || self.being_freed(&claim.placement));
+                && (claim.share.is_some() || self.is_being_freed(&claim.placement));
             if freeing {
                 return true;
             }
             if claim.ready.is_none() {
-                // A guaranteed job took part of the place meanwhile.
+                // A guaranteed job took part of the placement in the meantime.
                 self.claims.remove(&job);
             }
         }
         let share = self.share_for(&demand.team, &demand.shape);
-        // A guaranteed job sits as its share says, or the share would not fit
-        // any more while it runs.
+        // A guaranteed job is placed with the shape of its share. Otherwise the share might not fit
+        // while it runs.
         let shape = share.unwrap_or(demand.shape);
-        if let Some(placement) = self.find(demand, &shape, now, spare) {
-            if share.is_none() && self.spoils(&placement, demand, now) {
+        if let Some(placement) = self.find_placement(demand, &shape, now, spare) {
+            if share.is_none() && self.splits_free_worker(&placement, demand, now) {
                 *spare = None;
                 return false;
             }
-            // A borrowed job may sit anywhere, since it can be reclaimed. A
-            // guaranteed one may not break what other teams are still owed.
-            if share.is_none_or(|share| self.harmless(&placement, &demand.team, share)) {
+            // A borrowing job may run anywhere, since it can be reclaimed. A guaranteed one must
+            // leave the unused guarantees of other teams satisfiable.
+            if share.is_none_or(|share| self.keeps_guarantees(&placement, &demand.team, share)) {
                 self.claims.remove(&job);
                 self.start(job, demand, placement, share, now, decisions);
                 return true;
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Finds a place among what is free and takes it out of `spare`. Places
-    /// that are kept until their holders end are tried last.
-    fn find(
+    /// Finds a placement among free accelerators and removes it from `spare`. Accelerators that are
+    /// claimed until their holders end are tried last.
+    fn find_placement(
         &self,
         demand: &Demand,
         shape: &Shape,
@@ -131,7 +131,7 @@
         spare: &mut Option<Tally>,
     ) -> Option<Placement> {
         if demand.avoided_workers.is_empty() {
-            let spare = spare.get_or_insert_with(|| self.spare());
+            let spare = spare.get_or_insert_with(|| self.unclaimed());
             if let Some(placement) = plan::take(spare, shape) {
                 return Some(placement);
             }
@@ -139,7 +139,7 @@
                 return None;
             }
         }
-        let placement = plan::take(&mut self.vacant(demand, now), shape)?;
+        let placement = plan::take(&mut self.available_to(demand, now), shape)?;
         *spare = None;
         Some(placement)
     }
@@ -153,9 +153,9 @@
         })
     }
 
-    /// True if a small job would break into a wholly free worker while it may
-    /// still wait for a cell elsewhere: the patience for each point of weighing.
-    fn spoils(&self, placement: &Placement, demand: &Demand, now: Duration) -> bool {
+    /// True if a small job would split a wholly free worker while it may still wait for a cell
+    /// elsewhere. It may wait for the bypass limit times the weight of fragmentation.
+    fn splits_free_worker(&self, placement: &Placement, demand: &Demand, now: Duration) -> bool {
         let bound = self.limits.bypass_limit * self.limits.fragmentation_weight.min(100);
         if demand.urgent || now.saturating_sub(demand.arrived_at) >= bound {
             return false;
@@ -166,9 +166,9 @@
         })
     }
 
-    fn being_freed(&self, placement: &Placement) -> bool {
+    fn is_being_freed(&self, placement: &Placement) -> bool {
         let leaving = |id: &JobId| self.holdings.get(id).is_some_and(|holding| holding.reclaimed);
-        self.victims(placement).iter().all(leaving)
+        self.blockers(placement).iter().all(leaving)
     }
 
     fn start(
@@ -188,7 +188,7 @@
             team: demand.team.clone(),
             shape: demand.shape,
             since: now,
-            ends: now + self.estimates.expect(demand),
+            ends: now + self.estimates.expected_duration(demand),
             restartable: demand.restartable,
             share,
             reclaimed: false,
@@ -198,20 +198,20 @@
         decisions.push(Decision::Start { job, placement, guaranteed: share.is_some() });
     }
 
-    /// True if all other unused guarantees still fit beside `placement`.
-    fn harmless(&self, placement: &Placement, team: &str, share: Shape) -> bool {
+    /// True if all other unused guarantees still fit next to `placement`.
+    fn keeps_guarantees(&self, placement: &Placement, team: &str, share: Shape) -> bool {
         let mut tally = self.reclaimable(&[]);
-        for at in 0..tally.spots().len() {
-            let spot = tally.spot(at);
-            for (_, mask) in placement.iter().filter(|(worker, _)| **worker == *spot.worker) {
-                spot.free &= !mask;
-                spot.slots = spot.slots.saturating_sub(1);
+        for index in 0..tally.workers().len() {
+            let cells = tally.worker_mut(index);
+            for (_, mask) in placement.iter().filter(|(worker, _)| **worker == *cells.worker) {
+                cells.free &= !mask;
+                cells.slots = cells.slots.saturating_sub(1);
             }
         }
-        guarantee::pack(tally, &mut self.unused(Some((team, share)))).is_none()
+        guarantee::pack(tally, &mut self.unused_shares(Some((team, share)))).is_none()
     }
 
-    /// Finds cells that borrowed work holds and asks it to leave.
+    /// Finds cells that borrowing jobs hold and asks these to stop. False if there are none.
     fn reclaim(
         &mut self,
         job: JobId,
@@ -222,25 +222,31 @@
     ) -> bool {
         let tally = self.reclaimable(&demand.avoided_workers);
         let loss = |worker: &str, mask: u64| self.loss(worker, mask, now);
-        // The cheapest place may be one that another guarantee needs.
-        let found = cheapest(&tally, &share, loss).into_iter().take(TRIES);
-        let mut found = found.filter(|place| self.harmless(place, &demand.team, share));
+        // The cheapest placement may be needed by another guarantee.
+        let found =
+            cheapest_placements(&tally, &share, loss).into_iter().take(MAX_RECLAIM_CANDIDATES);
+        let mut found = found.filter(|place| self.keeps_guarantees(place, &demand.team, share));
         let Some(placement) = found.next() else { return false };
         drop(found);
-        // A place kept for a job without a guarantee would start it there.
-        self.claims.retain(|_, claim| claim.share.is_some() || !overlap(claim, &placement));
+        // An overlapping claim without a guarantee would start its job there.
+        self.claims.retain(|_, claim| claim.share.is_some() || !overlaps(claim, &placement));
         if self.is_free(&placement) {
             self.start(job, demand, placement, Some(share), now, decisions);
             return true;
         }
-        self.evict(job, &placement, decisions);
+        self.request_stops(job, &placement, decisions);
         self.claims.insert(job, Claim { placement, share: Some(share), ready: None });
         true
     }
 
-    /// Asks all that hold any accelerator of `placement` to leave.
-    fn evict(&mut self, claimant: JobId, placement: &Placement, decisions: &mut Vec<Decision>) {
-        for victim in self.victims(placement) {
+    /// Asks all jobs that block `placement` to stop, except those that were asked before.
+    fn request_stops(
+        &mut self,
+        claimant: JobId,
+        placement: &Placement,
+        decisions: &mut Vec<Decision>,
+    ) {
+        for victim in self.blockers(placement) {
             let Some(holding) = self.holdings.get_mut(&victim) else { continue };
             if !holding.reclaimed {
                 holding.reclaimed = true;
@@ -249,9 +255,9 @@
         }
     }
 
-    /// Jobs that must leave for `placement`: those that hold its accelerators,
-    /// and borrowers that fill the slots it needs, the latest first.
-    fn victims(&self, placement: &Placement) -> Vec<JobId> {
+    /// The jobs that block `placement`: those that hold its accelerators, and borrowing jobs that use
+    /// the task slots it needs, the last started first.
+    fn blockers(&self, placement: &Placement) -> Vec<JobId> {
         let mut victims = self.holders(placement);
         for (name, _) in placement {
             let Some(worker) = self.workers.get(name) else { continue };
@@ -285,23 +291,22 @@
         holders
     }
 
-    /// Work that is lost if the holders of a cell are stopped: accelerators
-    /// times the time they have run.
+    /// The work that is lost if the holders of a cell are stopped: accelerators times run time in
+    /// milliseconds.
     fn loss(&self, worker: &str, mask: u64, now: Duration) -> u128 {
         let held = self.workers[worker].held.iter().filter(|(_, m)| *m & mask != 0);
         let holdings = held.filter_map(|(job, _)| self.holdings.get(job));
         let lost = holdings.map(|holding| {
             let ran = now.saturating_sub(holding.since).as_millis() + 1;
-            let weight = if holding.restartable { 1 } else { FINAL_LOSS };
+            let weight = if holding.restartable { 1 } else { UNRESTARTABLE_LOSS_FACTOR };
             u128::from(holding.shape.total_accelerators()) * ran * weight
         });
         lost.sum()
     }
 
-    /// A job that has waited long and does not fit gets a place made for it:
-    /// by moving others where that pays, else by keeping a place until its
-    /// holders end. Otherwise narrower jobs would take each cell that falls free.
-    /// True if a place is kept from now on.
+    /// Makes room for a job that has waited long and does not fit: by moving other jobs where that is
+    /// worth the cost, else by claiming a placement until its holders end. Otherwise narrower jobs
+    /// would take each cell that becomes free. True if a placement is claimed.
     fn make_room(
         &mut self,
         job: JobId,
@@ -313,11 +318,11 @@
         if demand.shape.total_accelerators() < 2 || waited < self.limits.bypass_limit {
             return false;
         }
-        if self.compact(job, demand, waited, now, decisions) {
+        if self.move_blockers(job, demand, waited, now, decisions) {
             return true;
         }
-        let drains = self.claims.values().filter(|claim| claim.ready.is_some()).count();
-        if drains >= DRAINS {
+        let waiting_claims = self.claims.values().filter(|claim| claim.ready.is_some()).count();
+        if waiting_claims >= MAX_WAITING_CLAIMS {
             return false;
         }
         let ends = |worker: &str, mask: u64| {
@@ -325,12 +330,12 @@
             let ends = held.filter_map(|(job, _)| self.holdings.get(job)).map(|h| h.ends.max(now));
             ends.max().unwrap_or(now).as_millis()
         };
-        let mut tally = self.whole(&demand.avoided_workers);
-        for at in 0..tally.spots().len() {
-            let spot = tally.spot(at);
-            spot.slots = self.workers[&*spot.worker].slots;
+        let mut tally = self.unclaimed_or_held(&demand.avoided_workers);
+        for index in 0..tally.workers().len() {
+            let cells = tally.worker_mut(index);
+            cells.slots = self.workers[&*cells.worker].slots;
         }
-        let found = cheapest(&tally, &demand.shape, ends).into_iter().next();
+        let found = cheapest_placements(&tally, &demand.shape, ends).into_iter().next();
         let Some(placement) = found else { return false };
         let ready = placement.iter().map(|(worker, mask)| ends(worker, *mask)).max();
         let ready = ready.map(|ms| Duration::from_millis(ms as u64));
@@ -338,9 +343,9 @@
         true
     }
 
-    /// Moves borrowed work off a nearly free place to other free cells, if what
-    /// that costs is less than what the wide job's wait is worth.
-    fn compact(
+    /// Moves borrowing jobs from a nearly free placement to other free cells, if that costs less than
+    /// the wait of the wide job is worth.
+    fn move_blockers(
         &mut self,
         job: JobId,
         demand: &Demand,
@@ -350,9 +355,9 @@
     ) -> bool {
         let tally = self.reclaimable(&demand.avoided_workers);
         let loss = |worker: &str, mask: u64| self.loss(worker, mask, now);
-        let found = cheapest(&tally, &demand.shape, loss).into_iter().next();
+        let found = cheapest_placements(&tally, &demand.shape, loss).into_iter().next();
         let Some(placement) = found else { return false };
-        let holders = self.victims(&placement);
+        let holders = self.blockers(&placement);
         let movable = |id: &JobId| {
             self.holdings
                 .get(id)
@@ -361,9 +366,9 @@
         if !holders.iter().all(movable) {
             return false;
         }
-        let mut spare = self.spare();
+        let mut spare = self.unclaimed();
         for (worker, mask) in &placement {
-            spare.without(worker, *mask);
+            spare.remove(worker, *mask);
         }
         let mut cost = Duration::ZERO;
         for id in &holders {
@@ -373,42 +378,47 @@
             {
                 return false;
             }
-            cost += MOVE * holding.shape.total_accelerators();
+            cost += MOVE_COST * holding.shape.total_accelerators();
         }
-        let lean = 1 + self.limits.fragmentation_weight.min(100) / 25;
-        if waited * demand.shape.total_accelerators() * lean < cost * 2 {
+        let weight = 1 + self.limits.fragmentation_weight.min(100) / 25;
+        if waited * demand.shape.total_accelerators() * weight < cost * 2 {
             return false;
         }
-        self.evict(job, &placement, decisions);
+        self.request_stops(job, &placement, decisions);
         self.claims.insert(job, Claim { placement, share: None, ready: None });
         true
     }
 }
 
-fn overlap(claim: &Claim, placement: &Placement) -> bool {
+fn overlaps(claim: &Claim, placement: &Placement) -> bool {
     let hits = |(worker, mask): &(String, u64)| {
         claim.placement.iter().any(|(other, kept)| other == worker && kept & mask != 0)
     };
     placement.iter().any(hits)
 }
 
-/// Places by rising cost, one per domain. The cost is summed over the cells.
-fn cheapest(tally: &Tally, shape: &Shape, cost: impl Fn(&str, u64) -> u128) -> Vec<Placement> {
+/// Returns the cheapest placement of each domain, by rising cost. The cost is summed over the cells.
+fn cheapest_placements(
+    tally: &Tally,
+    shape: &Shape,
+    cost: impl Fn(&str, u64) -> u128,
+) -> Vec<Placement> {
     let size = shape.cell_size();
     let mut found: Vec<(u128, Placement)> = Vec::new();
     for domain in tally.domains(shape.adjacency) {
-        let room: u32 = domain.iter().map(|at| tally.spots()[*at].room(size)).sum();
+        let room: u32 =
+            domain.iter().map(|index| tally.workers()[*index].task_capacity(size)).sum();
         if room < shape.tasks {
             continue;
         }
         let mut cells: Vec<(u128, &str, u64)> = Vec::new();
-        for at in domain {
-            let spot = &tally.spots()[*at];
-            let mut here: Vec<_> = cell::within(spot.free, size)
-                .map(|mask| (cost(&spot.worker, mask), &*spot.worker, mask))
+        for index in domain {
+            let on_worker = &tally.workers()[*index];
+            let mut here: Vec<_> = cell::within(on_worker.free, size)
+                .map(|mask| (cost(&on_worker.worker, mask), &*on_worker.worker, mask))
                 .collect();
             here.sort();
-            here.truncate(spot.slots as usize);
+            here.truncate(on_worker.slots as usize);
             cells.extend(here);
         }
         cells.sort();
--- a/crates/pool/src/decision.rs
+++ b/crates/pool/src/decision.rs
@@ -1,22 +1,22 @@
 use crate::{JobId, Placement};
 
-/// What the pool's user is to do next.
+/// An action that the caller of [`crate::Pool::decide`] has to carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// Start the job there. The accelerators are held for it from now on.
+    /// Start the job. Its accelerators are held from now on.
     Start {
         /// The job.
         job: JobId,
         /// Worker and accelerators by rank.
         placement: Placement,
-        /// True if the team's guarantee pays, so that it will not be reclaimed.
+        /// True if the team's guarantee covers the job, so that it is not reclaimed.
         guaranteed: bool,
     },
-    /// Stop this borrowed job; its accelerators are wanted back.
+    /// Stop a job that borrows accelerators, to free them.
     Reclaim {
-        /// The job that gives way.
+        /// The job to stop.
         job: JobId,
-        /// The guaranteed job that it gives way to.
+        /// The job that needs the accelerators.
         claimant: JobId,
     },
 }
--- a/crates/pool/src/demand.rs
+++ b/crates/pool/src/demand.rs
@@ -2,21 +2,21 @@
 
 use crate::shape::Shape;
 
-/// What a waiting job asks for.
+/// The requirements of a waiting job.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// The team that pays for it.
+    /// The team whose quota and guarantee it uses.
     pub team: String,
     /// The accelerators it needs.
     pub shape: Shape,
-    /// Starts before the team's other work within its guarantee.
+    /// The job starts before jobs that are not urgent, within and beyond the guarantee.
     pub urgent: bool,
-    /// Can run again, so that stopping it loses time but not its outcome.
+    /// The job can run again, so that stopping it loses time but not its outcome.
     pub restartable: bool,
-    /// When it came, on the caller's clock.
+    /// When the job arrived, on the caller's clock.
     pub arrived_at: Duration,
-    /// How long its caller says it runs. Corrected by what the team's jobs did.
+    /// The run time that the client declared. Corrected by the run times of the team's earlier jobs.
     pub declared_duration: Duration,
-    /// Workers that earlier attempts failed on, not to be tried again.
+    /// Workers on which earlier attempts failed. The job is not placed on them again.
     pub avoided_workers: Vec<String>,
 }
--- a/crates/pool/src/estimate.rs
+++ b/crates/pool/src/estimate.rs
@@ -3,16 +3,16 @@
 
 use crate::demand::Demand;
 
-/// How long jobs really run, learnt from those that ended.
+/// Estimates of run times from jobs that ended.
 ///
-/// Declared times are wrong by tenfold either way, and some teams always
-/// exaggerate. For each team and size of job the logarithm of the real time is
-/// fitted to that of the declared one: where declarations say nothing the fit
-/// is flat, where they are only off by a factor it is shifted.
+/// Declared run times are wrong by up to tenfold either way, and some teams always exaggerate.
+/// For each team and size of job the logarithm of the actual run time is fitted to that of the
+/// declared one: the fit is flat where declarations are meaningless, and shifted where they are
+/// off by a constant factor.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Estimates(BTreeMap<String, BTreeMap<u32, Fit>>);
 
-/// Sums of a least-squares fit.
+/// Sums of a least-squares fit of `y` over `x`.
 #[derive(Clone, Copy, Debug, Default)]
 struct Fit {
     n: f64,
@@ -22,37 +22,37 @@
     xy: f64,
 }
 
-/// Jobs that must have ended before they are believed more than callers.
-const ENOUGH: f64 = 10.0;
-/// Older jobs count less: after this many the sums are halved.
-const MEMORY: f64 = 1000.0;
+/// Jobs that must have ended before the fit replaces the declared run time.
+const MIN_JOBS: f64 = 10.0;
+/// The sums are halved when they reach this many jobs, so that older jobs count less.
+const MAX_JOBS: f64 = 1000.0;
 
 impl Estimates {
-    /// Notes that a job that was declared so ran for `ran`.
-    pub fn learn(&mut self, team: &str, total: u32, declared: Duration, ran: Duration) {
+    /// Records that a job that was declared to run for `declared` ran for `ran`.
+    pub fn record(&mut self, team: &str, total: u32, declared: Duration, ran: Duration) {
         if !self.0.contains_key(team) {
             self.0.insert(team.to_owned(), BTreeMap::new());
         }
         let fits = self.0.get_mut(team).expect("present by now");
-        let fit = fits.entry(size(total)).or_default();
+        let fit = fits.entry(size_class(total)).or_default();
         let (x, y) = (log(declared), log(ran));
         fit.n += 1.0;
         fit.x += x;
         fit.y += y;
         fit.xx += x * x;
         fit.xy += x * y;
-        if fit.n >= MEMORY {
+        if fit.n >= MAX_JOBS {
             for sum in [&mut fit.n, &mut fit.x, &mut fit.y, &mut fit.xx, &mut fit.xy] {
                 *sum /= 2.0;
             }
         }
     }
 
-    /// How long the job is expected to run.
-    pub fn expect(&self, demand: &Demand) -> Duration {
+    /// The expected run time of the job.
+    pub fn expected_duration(&self, demand: &Demand) -> Duration {
         let fits = self.0.get(&demand.team);
-        let fit = fits.and_then(|fits| fits.get(&size(demand.shape.total_accelerators())));
-        let Some(fit) = fit.filter(|fit| fit.n >= ENOUGH) else {
+        let fit = fits.and_then(|fits| fits.get(&size_class(demand.shape.total_accelerators())));
+        let Some(fit) = fit.filter(|fit| fit.n >= MIN_JOBS) else {
             return demand.declared_duration;
         };
         let spread = fit.n * fit.xx - fit.x * fit.x;
@@ -66,7 +66,7 @@
     }
 }
 
-fn size(total: u32) -> u32 {
+fn size_class(total: u32) -> u32 {
     total.next_power_of_two().trailing_zeros()
 }
 
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,10 +1,10 @@
-//! The decision core: which job starts where, and which work must give way.
+//! The decision core of the scheduler: which job starts where, and which work is reclaimed for it.
 //!
 //! The pool knows workers, teams, their guaranteed shapes and the jobs that
 //! wait or hold accelerators. It performs no I/O and reads no clock: callers
 //! pass the time in. Commands (`command`) change it; queries (`query`) do not.
-//! Decisions come from [`Pool::decide`], which is a command because it hands
-//! out the accelerators it decides on.
+//! Decisions come from [`Pool::decide`], which is a command because it allocates the accelerators
+//! of the jobs that it starts.
 //!
 //! A worker's accelerators are cells in a buddy hierarchy (single, pair, quad,
 //! octet), the published idea of HiveD (Zhao et al., OSDI '20). Unlike there,
@@ -13,6 +13,7 @@
 //! borrowed work counted as reclaimable.
 
 mod adjacency;
+mod availability;
 mod cell;
 mod command;
 mod decide;
@@ -24,7 +25,6 @@
 mod pool;
 mod query;
 mod queue;
-mod room;
 mod shape;
 mod share;
 mod tally;
@@ -40,8 +40,8 @@
 pub use share::Share;
 pub use worker::Condition;
 
-/// Names a job within one pool. Handed out by the pool's user.
+/// Identifies a job within one pool. Assigned by the caller.
 pub type JobId = u64;
 
-/// Where a gang's tasks go: worker and accelerator mask, by rank.
+/// The placement of a gang's tasks: worker and accelerator mask, by rank.
 pub type Placement = Vec<(String, u64)>;
--- a/crates/pool/src/pool.rs
+++ b/crates/pool/src/pool.rs
@@ -10,18 +10,19 @@
 use crate::worker::Worker;
 use crate::{JobId, Placement};
 
-/// Bounds that operators set.
+/// Limits that operators set.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most jobs that wait per team.
+    /// Maximum number of waiting jobs per team.
     pub max_queued: usize,
-    /// Workers that may fail without breaking a guarantee.
+    /// Number of workers that may fail without breaking a guarantee.
     pub failure_reserve: usize,
-    /// After this wait a wide job stops narrower ones from overtaking it.
+    /// Wait after which capacity is kept for a wide job, so that narrower ones no longer overtake it.
     pub bypass_limit: Duration,
-    /// 0 weighs completion time alone, 100 fragmentation alone.
+    /// Weight of fragmentation against completion time: 0 for completion time alone, 100 for
+    /// fragmentation alone.
     pub fragmentation_weight: u32,
-    /// Distinct jobs in a row that fail on a worker before it is quarantined.
+    /// Number of distinct jobs in a row that fail on a worker before it is quarantined.
     pub quarantine_threshold: usize,
 }
 
@@ -44,24 +45,24 @@
     pub team: String,
     pub shape: Shape,
     pub since: Duration,
-    /// When it is expected to end.
+    /// When the job is expected to end.
     pub ends: Duration,
     pub restartable: bool,
-    /// The share that pays for it, if the team's guarantee does.
+    /// The share that covers the job, if the team's guarantee does.
     pub share: Option<Shape>,
-    /// Set once it was asked to give way.
+    /// True once the job was asked to stop for another.
     pub reclaimed: bool,
     pub places: Placement,
 }
 
-/// A place kept for a waiting job until those who hold it have left.
+/// A placement that is kept for a waiting job until the holders of its accelerators have stopped.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub placement: Placement,
-    /// The share that pays for it, if a guarantee does.
+    /// The share that covers the job, if a guarantee does.
     pub share: Option<Shape>,
-    /// When the place is expected to be free, if nobody was asked to leave it.
-    /// Jobs that are expected to end before may use it meanwhile.
+    /// When the placement is expected to be free, if no job was asked to stop for it. Jobs that are
+    /// expected to end before then may use it in the meantime.
     pub ready: Option<Duration>,
 }
 
@@ -74,10 +75,10 @@
     pub(crate) waiting: BTreeMap<JobId, Demand>,
     pub(crate) holdings: BTreeMap<JobId, Holding>,
     pub(crate) claims: BTreeMap<JobId, Claim>,
-    /// Distinct jobs that failed in a row, per worker.
+    /// Distinct jobs that failed in a row, by worker.
     pub(crate) strikes: BTreeMap<String, Vec<JobId>>,
     pub(crate) estimates: Estimates,
-    /// Where the workers are; made anew when they change.
+    /// The racks and availability zones of the workers; rebuilt when they change.
     pub(crate) layout: Option<Arc<Layout>>,
 }
 
@@ -87,12 +88,12 @@
         Pool { limits, ..Pool::default() }
     }
 
-    /// The unused guaranteed shapes of all teams, but for one of `except`.
-    pub(crate) fn unused(&self, except: Option<(&str, Shape)>) -> Vec<Shape> {
+    /// The unused guaranteed shapes of all teams. One shape of `except` counts as used.
+    pub(crate) fn unused_shares(&self, except: Option<(&str, Shape)>) -> Vec<Shape> {
         let mut shapes = Vec::new();
         for (name, team) in &self.teams {
             for share in &team.shares {
-                let mut used = self.used(name, &share.shape);
+                let mut used = self.used_shares(name, &share.shape);
                 if except == Some((name, share.shape)) {
                     used += 1;
                 }
@@ -103,8 +104,8 @@
         shapes
     }
 
-    /// How many of the team's shares of `shape` are taken.
-    pub(crate) fn used(&self, team: &str, shape: &Shape) -> u32 {
+    /// The number of the team's shares of `shape` that are used by running jobs and claims.
+    pub(crate) fn used_shares(&self, team: &str, shape: &Shape) -> u32 {
         let held = self.holdings.values().filter(|h| h.team == team && h.share == Some(*shape));
         let claimed = self.claims.iter().filter(|(job, claim)| {
             claim.share == Some(*shape) && self.waiting.get(job).is_some_and(|d| d.team == team)
@@ -112,16 +113,16 @@
         (held.count() + claimed.count()) as u32
     }
 
-    /// An unused share of the team that covers `shape`, the least adjacent.
+    /// The unused share of the team that covers `shape`, the least adjacent of several.
     pub(crate) fn share_for(&self, team: &str, shape: &Shape) -> Option<Shape> {
         let shares = &self.teams.get(team)?.shares;
         let open = shares.iter().filter(|share| {
-            share.shape.covers(shape) && self.used(team, &share.shape) < share.count
+            share.shape.covers(shape) && self.used_shares(team, &share.shape) < share.count
         });
         open.map(|share| share.shape).min_by_key(|shape| shape.adjacency)
     }
 
-    /// Accelerators that a team holds.
+    /// The number of accelerators that a team holds.
     pub(crate) fn held_by(&self, team: &str) -> u32 {
         self.holdings
             .values()
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting jobs are tried.
+//! The order in which waiting jobs are considered.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 use crate::pool::Pool;
 use crate::shape::Shape;
 
-/// What a job of no size and no wait counts as having waited, in seconds: the
-/// smaller, the more the order is that of arrival.
-const GRAIN: f64 = 60.0;
+/// Added to the wait of each job in its score, in seconds. The smaller it is, the more the order
+/// is that of arrival.
+const WAIT_OFFSET_S: f64 = 60.0;
 
 impl Pool {
-    /// Waiting jobs: what a guarantee covers first, urgent before other, then
-    /// by the expected work divided by the wait. Small work first shortens the
-    /// mean completion time; the wait lifts the large, so that none starves.
+    /// Returns the waiting jobs: guaranteed before other ones, urgent before other ones, then by the
+    /// expected work divided by the wait. Small jobs first shorten the mean completion time; the
+    /// wait raises large jobs, so that none starves.
     pub(crate) fn order(&self, now: Duration) -> Vec<JobId> {
         let open = self.open_shares();
         let mut held: BTreeMap<&str, u32> = BTreeMap::new();
@@ -43,14 +43,14 @@
         keys.into_iter().map(|(_, _, job)| job).collect()
     }
 
-    /// Expected work by wait. Toward fragmentation, wide shapes count for less:
-    /// they go first while there is room for them.
+    /// Expected work divided by the wait. The higher the weight of fragmentation, the less the width
+    /// counts, so that wide jobs go first while there is capacity for them.
     fn score(&self, demand: &Demand, now: Duration) -> f64 {
         let waited = now.saturating_sub(demand.arrived_at).as_secs_f64();
-        let run = self.estimates.expect(demand).as_secs_f64();
+        let run = self.estimates.expected_duration(demand).as_secs_f64();
         let width = f64::from(demand.shape.total_accelerators());
-        let lean = 1.0 - 1.5 * f64::from(self.limits.fragmentation_weight.min(100)) / 100.0;
-        (run + 1.0) * width.powf(lean) / (waited + GRAIN)
+        let exponent = 1.0 - 1.5 * f64::from(self.limits.fragmentation_weight.min(100)) / 100.0;
+        (run + 1.0) * width.powf(exponent) / (waited + WAIT_OFFSET_S)
     }
 
     /// Guaranteed shapes that are not used up, by team.
@@ -71,7 +71,7 @@
     }
 }
 
-/// A score that can be sorted by.
+/// A score with a total order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Score(f64);
 
--- a/crates/pool/src/shape.rs
+++ b/crates/pool/src/shape.rs
@@ -10,7 +10,7 @@
     pub tasks: u32,
     /// Accelerators per task.
     pub accelerators: u32,
-    /// How near the tasks must be to one another.
+    /// How close together the tasks must run.
     pub adjacency: Adjacency,
 }
 
@@ -25,21 +25,20 @@
         Shape { tasks, accelerators, adjacency }
     }
 
-    /// Accelerators in the cell that one task takes. Rounded up to a power of
-    /// two, since only aligned powers of two stay adjacent when cells are
-    /// split and joined again.
+    /// Accelerators in the cell of one task, rounded up to a power of two: only aligned powers of two
+    /// stay adjacent when cells are split and merged again.
     pub fn cell_size(&self) -> u32 {
         self.accelerators.next_power_of_two()
     }
 
-    /// Accelerators that the whole gang takes.
+    /// Accelerators of the whole gang.
     pub fn total_accelerators(&self) -> u32 {
         self.tasks * self.cell_size()
     }
 
-    /// True if a guarantee of `self` pays for a job of shape `other`: the same
-    /// gang, as adjacent or less. Were it to pay for smaller jobs, these could
-    /// sit so that the whole shape is no longer there when they have ended.
+    /// True if a guarantee of `self` covers a job of shape `other`: the same gang with the same or a
+    /// weaker adjacency. If it covered smaller jobs, these could be placed such that the whole shape
+    /// no longer fits when they have ended.
     pub fn covers(&self, other: &Shape) -> bool {
         self.tasks == other.tasks
             && self.cell_size() == other.cell_size()
--- a/crates/pool/src/share.rs
+++ b/crates/pool/src/share.rs
@@ -2,11 +2,11 @@
 
 use crate::shape::Shape;
 
-/// A number of equal shapes that a team can have at the same time.
+/// A number of equal shapes that a team is guaranteed at the same time.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Share {
     /// The shape.
     pub shape: Shape,
-    /// How many of it.
+    /// The number of such shapes.
     pub count: u32,
 }
--- a/crates/pool/src/tally.rs
+++ b/crates/pool/src/tally.rs
@@ -4,15 +4,15 @@
 use crate::Adjacency;
 use crate::cell;
 
-/// Accelerators that a search may use, worker by worker, and the slots left
-/// there. Searches work on a tally so that a plan that fails changes nothing.
+/// The accelerators and task slots that a search may use, by worker. Searches work on this copy, so
+/// that a failed plan changes nothing.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    spots: Vec<Spot>,
+    workers: Vec<WorkerCells>,
     layout: Arc<Layout>,
 }
 
-/// Positions of spots, by rack and by availability zone.
+/// Indices of workers, by rack and by availability zone.
 #[derive(Clone, Debug, Default)]
 pub struct Layout {
     racks: Vec<Vec<usize>>,
@@ -20,57 +20,57 @@
     all: Vec<usize>,
 }
 
-/// One worker's part of a tally.
+/// The accelerators and task slots of one worker.
 #[derive(Clone, Debug)]
-pub struct Spot {
+pub struct WorkerCells {
     pub worker: Arc<str>,
     pub free: u64,
     pub slots: u32,
 }
 
-impl Spot {
-    /// How many tasks with a cell of `size` fit here.
-    pub fn room(&self, size: u32) -> u32 {
+impl WorkerCells {
+    /// The number of tasks with a cell of `size` that fit on the worker.
+    pub fn task_capacity(&self, size: u32) -> u32 {
         cell::count(self.free, size).min(self.slots)
     }
 }
 
 impl Layout {
-    /// The layout of workers given by zone and rack, in the order of the spots.
+    /// Returns the layout of workers given by zone and rack, in the order of their indices.
     pub fn new<'a>(workers: impl Iterator<Item = (&'a str, &'a str)>) -> Layout {
         let mut racks: BTreeMap<(&str, &str), Vec<usize>> = BTreeMap::new();
         let mut zones: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
         let mut all = Vec::new();
-        for (at, (zone, rack)) in workers.enumerate() {
-            racks.entry((zone, rack)).or_default().push(at);
-            zones.entry(zone).or_default().push(at);
-            all.push(at);
+        for (index, (zone, rack)) in workers.enumerate() {
+            racks.entry((zone, rack)).or_default().push(index);
+            zones.entry(zone).or_default().push(index);
+            all.push(index);
         }
         Layout { racks: racks.into_values().collect(), zones: zones.into_values().collect(), all }
     }
 }
 
 impl Tally {
-    pub fn new(layout: Arc<Layout>, spots: Vec<Spot>) -> Tally {
-        Tally { spots, layout }
+    pub fn new(layout: Arc<Layout>, workers: Vec<WorkerCells>) -> Tally {
+        Tally { workers, layout }
     }
 
-    /// Takes cells of a worker out.
-    pub fn without(&mut self, worker: &str, mask: u64) {
-        for spot in self.spots.iter_mut().filter(|spot| *spot.worker == *worker) {
-            spot.free &= !mask;
+    /// Removes accelerators of a worker.
+    pub fn remove(&mut self, worker: &str, mask: u64) {
+        for cells in self.workers.iter_mut().filter(|cells| *cells.worker == *worker) {
+            cells.free &= !mask;
         }
     }
 
-    pub fn spot(&mut self, at: usize) -> &mut Spot {
-        &mut self.spots[at]
+    pub fn worker_mut(&mut self, index: usize) -> &mut WorkerCells {
+        &mut self.workers[index]
     }
 
-    pub fn spots(&self) -> &[Spot] {
-        &self.spots
+    pub fn workers(&self) -> &[WorkerCells] {
+        &self.workers
     }
 
-    /// Groups of spots, each as wide as the adjacency allows.
+    /// Groups of worker indices, each as wide as the adjacency allows.
     pub fn domains(&self, adjacency: Adjacency) -> Box<dyn Iterator<Item = &[usize]> + '_> {
         match adjacency {
             Adjacency::Worker => Box::new(self.layout.all.chunks(1)),
--- a/crates/pool/src/team.rs
+++ b/crates/pool/src/team.rs
@@ -1,9 +1,9 @@
 use crate::share::Share;
 
-/// What a team may have.
+/// The quota and guarantee of a team.
 #[derive(Clone, Debug, Default)]
 pub struct Team {
-    /// Most accelerators held at once; 0 is no limit.
+    /// Maximum number of accelerators held at a time; 0 for no limit.
     pub quota: u32,
     /// Shapes that can always be reclaimed for the team.
     pub shares: Vec<Share>,
--- a/crates/pool/src/worker.rs
+++ b/crates/pool/src/worker.rs
@@ -7,15 +7,15 @@
 /// Whether a worker may be given new work.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Condition {
-    /// It may.
+    /// It may be given new work.
     Serving,
-    /// Its agent was not heard for a while; it may come back.
+    /// No heartbeat of its agent arrived for a while; it may come back.
     Suspect,
-    /// Its endpoint or its agent is about to leave.
+    /// Its endpoint or its agent is about to shut down.
     Leaving,
     /// An operator drained it.
     Drained,
-    /// It failed several distinct jobs in a row.
+    /// Several distinct jobs in a row failed on it.
     Quarantined,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// One worker and who holds its accelerators.
+/// A worker and the jobs that hold its accelerators.
 #[derive(Clone, Debug)]
 pub struct Worker {
     pub name: Arc<str>,
@@ -43,7 +43,7 @@
     pub condition: Condition,
     pub held: BTreeMap<JobId, u64>,
     pub tasks: u32,
-    /// What `held` leaves; kept beside it because every search asks for it.
+    /// Accelerators that `held` leaves free; cached because every search reads it.
     free: u64,
 }
 
@@ -66,7 +66,7 @@
         self.free
     }
 
-    /// Works out anew what is free, after `held` or the size changed.
+    /// Recomputes the free accelerators after `held` or the size changed.
     pub fn refresh(&mut self) {
         let all = cell::full(self.accelerators);
         self.free = self.held.values().fold(all, |free, mask| free & !mask);
--- a/crates/pool/tests/invariants.rs
+++ b/crates/pool/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds after any sequence of commands, over seeded random sequences.
+//! Invariants of the pool, checked after each command of seeded random sequences.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const WORKERS: usize = 8;
 const TEAMS: [&str; 3] = ["a", "b", "c"];
 
-struct Bed {
+struct RandomPool {
     pool: Pool,
     rng: StdRng,
     now: Duration,
@@ -21,11 +21,11 @@
     stopping: Vec<u64>,
 }
 
-impl Bed {
-    fn new(seed: u64) -> Bed {
+impl RandomPool {
+    fn new(seed: u64) -> RandomPool {
         let mut pool = Pool::new(Limits { failure_reserve: 0, ..Limits::default() });
-        for at in 0..WORKERS {
-            pool.put_worker(&format!("w{at}"), "z", &format!("r{}", at / 2), 8, 6);
+        for index in 0..WORKERS {
+            pool.put_worker(&format!("w{index}"), "z", &format!("r{}", index / 2), 8, 6);
         }
         let shares = |shape, count| vec![Share { shape, count }];
         let guarantees = [
@@ -38,7 +38,7 @@
             assert_eq!(pool.unsatisfiable_share(team, &shares), None);
             pool.put_shares(team, shares);
         }
-        Bed {
+        RandomPool {
             pool,
             rng: StdRng::seed_from_u64(seed),
             now: Duration::ZERO,
@@ -113,8 +113,8 @@
 
     fn cancel(&mut self) {
         if !self.waiting.is_empty() {
-            let at = self.rng.random_range(0..self.waiting.len());
-            assert!(self.pool.withdraw(self.waiting.remove(at)));
+            let index = self.rng.random_range(0..self.waiting.len());
+            assert!(self.pool.withdraw(self.waiting.remove(index)));
         }
     }
 
@@ -140,41 +140,41 @@
     }
 }
 
-/// Symptom: a guaranteed shape cannot be had although all counts add up, or an
-/// accelerator has two holders. Sequence: any. Cause: a guaranteed job sits
-/// where another guarantee needs to be, or a kept place is given away.
+/// Guards against a guaranteed shape that can't be reclaimed although all counts add up, since a
+/// guaranteed job was placed where another guarantee needs to fit, and against an accelerator with
+/// two holders, since a claimed placement was given to another job.
 #[test]
 fn guarantees_stay_reclaimable_and_cells_add_up() {
     for seed in 0..40 {
-        let mut bed = Bed::new(seed);
+        let mut state = RandomPool::new(seed);
         for step in 0..400 {
-            bed.step();
-            bed.check(&format!("seed {seed}, step {step}"));
+            state.step();
+            state.check(&format!("seed {seed}, step {step}"));
         }
     }
 }
 
-/// Symptom: a drained pool goes on giving work, or a lost worker's cells come
-/// back held. Sequence: workers stop serving and come back under load. Cause:
-/// places that were kept there are forgotten or stay for ever.
+/// Guards against new work on drained workers, and against cells that stay held on a worker that
+/// comes back, since claims on it were lost or were never dropped. Workers stop serving and come
+/// back under load.
 #[test]
 fn workers_that_stop_serving_get_nothing_new() {
     for seed in 0..20 {
-        let mut bed = Bed::new(seed);
+        let mut state = RandomPool::new(seed);
         for step in 0..300 {
-            let at = format!("w{}", bed.rng.random_range(0..WORKERS));
-            let up = bed.rng.random_bool(0.5);
+            let name = format!("w{}", state.rng.random_range(0..WORKERS));
+            let up = state.rng.random_bool(0.5);
             let condition = if up { Condition::Serving } else { Condition::Drained };
-            bed.pool.set_condition(&at, condition);
-            let before: Vec<u64> = bed.running.keys().copied().collect();
-            bed.step();
-            let drained: Vec<String> = bed
+            state.pool.set_condition(&name, condition);
+            let before: Vec<u64> = state.running.keys().copied().collect();
+            state.step();
+            let drained: Vec<String> = state
                 .pool
                 .workers()
                 .filter(|view| view.condition == Condition::Drained)
                 .map(|view| view.worker.to_owned())
                 .collect();
-            for (job, placement) in bed.running.iter().filter(|(job, _)| !before.contains(job)) {
+            for (job, placement) in state.running.iter().filter(|(job, _)| !before.contains(job)) {
                 let bad = placement.iter().any(|(worker, _)| drained.contains(worker));
                 assert!(!bad, "seed {seed}, step {step}: job {job} went to a drained worker");
             }
@@ -182,9 +182,9 @@
     }
 }
 
-/// The narrow places of wide gangs: adjacency, and shapes that never fit.
+/// Placement of wide gangs: adjacency, and shapes that never fit.
 #[test]
-fn gangs_are_placed_whole_and_adjacent() {
+fn gangs_are_placed_whole_and_within_their_adjacency() {
     let mut lines = Vec::new();
     let shapes = [
         Shape::new(2, 8, Adjacency::Rack),
@@ -198,8 +198,8 @@
         Shape::new(49, 1, Adjacency::Any),
     ];
     for shape in shapes {
-        let mut bed = Bed::new(0);
-        let possible = bed.pool.can_ever_fit(&shape);
+        let mut state = RandomPool::new(0);
+        let possible = state.pool.can_ever_fit(&shape);
         let demand = Demand {
             team: "nobody".to_owned(),
             shape,
@@ -209,8 +209,8 @@
             declared_duration: Duration::from_secs(1),
             avoided_workers: Vec::new(),
         };
-        bed.pool.enqueue(1, demand);
-        let decisions = bed.pool.decide(Duration::from_secs(1));
+        state.pool.enqueue(1, demand);
+        let decisions = state.pool.decide(Duration::from_secs(1));
         let placed = match decisions.first() {
             Some(Decision::Start { placement, .. }) => {
                 let mut workers: Vec<&str> = placement.iter().map(|(w, _)| w.as_str()).collect();
