--- /dev/null
+++ b/crates/dispatch/src/clearance.rs
@@ -0,0 +1,152 @@
+//! Clearance of steps for workers.
+//!
+//! An external service decides which workers may run a step. It answers one call at a time, and a
+//! call's time grows with its number of workers. So a step requests clearance for a few workers, those
+//! with the most room first, and for more only while tasks have no place. A refusal is final, and
+//! an expired ticket is requested again.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use quincewheel_job::{Id, Incarnation};
+
+use crate::candidate::Candidate;
+use crate::output::Output;
+use crate::owner::Owner;
+
+/// The clearance of one step.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Clearance {
+    /// Workers that may not run the step.
+    barred: BTreeSet<Incarnation>,
+    /// Tickets by worker. A ticket is valid only for the incarnation that it was issued for.
+    tickets: BTreeMap<Incarnation, Ticket>,
+    /// No request is sent before this time.
+    retry_at: u64,
+}
+
+#[derive(Clone, Debug)]
+struct Ticket {
+    text: String,
+    expires_at: u64,
+}
+
+/// A request to the service: which of these workers may run a step.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub struct ClearanceRequest {
+    /// The job.
+    pub job: Id,
+    /// The occurrence of a scheduled job.
+    pub occurrence: u32,
+    /// The step.
+    pub step: u32,
+    /// The workers.
+    pub workers: Vec<Incarnation>,
+}
+
+/// Most workers in one request. Enough for most steps; a call's time grows with each worker.
+const MAX_WORKERS: usize = 12;
+/// Shortest remaining validity of a ticket that is used. A start may be tried three times, 400 ms
+/// apart.
+const MIN_VALIDITY_MS: u64 = 1300;
+/// Delay before the next request after one that got no answer.
+const RETRY_DELAY_MS: u64 = 300;
+
+impl Clearance {
+    /// The ticket for a worker, if it is valid for long enough.
+    pub fn ticket(&self, worker: &Incarnation, now: u64) -> Option<&str> {
+        let held =
+            self.tickets.get(worker).filter(|ticket| ticket.expires_at >= now + MIN_VALIDITY_MS);
+        held.map(|ticket| ticket.text.as_str())
+    }
+
+    /// The number of workers that may not run the step, and of those with a usable ticket.
+    pub fn counts(&self, now: u64) -> (usize, usize) {
+        let held = self.tickets.keys().filter(|worker| self.ticket(worker, now).is_some());
+        (self.barred.len(), held.count())
+    }
+
+    /// Drops a ticket that its worker refused.
+    pub fn drop_ticket(&mut self, worker: &Incarnation) {
+        self.tickets.remove(worker);
+    }
+
+    /// True if clearance for the worker may be requested now.
+    fn needs_request(&self, worker: &Incarnation, now: u64) -> bool {
+        now >= self.retry_at && !self.barred.contains(worker) && self.ticket(worker, now).is_none()
+    }
+
+    /// Records the answer to a request. `tickets` are pairs of a worker's id and its ticket; the
+    /// other workers of the request may not run the step.
+    fn record_answer(
+        &mut self,
+        request: &ClearanceRequest,
+        tickets: &[(String, String)],
+        expires_at: u64,
+    ) {
+        for worker in &request.workers {
+            match tickets.iter().find(|(id, _)| *id == worker.id) {
+                Some((_, text)) => {
+                    let ticket = Ticket { text: text.clone(), expires_at };
+                    self.tickets.insert(worker.clone(), ticket);
+                }
+                None => {
+                    self.barred.insert(worker.clone());
+                }
+            }
+        }
+    }
+}
+
+impl Owner {
+    /// Handles the answer to a request that was sent at `sent`: tickets by worker id, and for how
+    /// many milliseconds they are valid; none if no answer arrived.
+    pub fn on_clearance(
+        &mut self,
+        request: &ClearanceRequest,
+        answer: Option<(&[(String, String)], u64)>,
+        sent: u64,
+        now: u64,
+    ) {
+        self.advice_pending = false;
+        self.replan = true;
+        let Some(entry) = self.jobs.get_mut(&request.job) else { return };
+        let clearance = entry.clearances.entry((request.occurrence, request.step)).or_default();
+        match answer {
+            Some((tickets, valid)) => {
+                clearance.record_answer(request, tickets, sent + valid);
+                let detail = format!("{} of {} workers", tickets.len(), request.workers.len());
+                self.log("cleared", &request.job, detail);
+            }
+            None => {
+                clearance.retry_at = now + RETRY_DELAY_MS;
+                self.advice_retry_at = Some(now + RETRY_DELAY_MS);
+                self.log("not cleared", &request.job, "no answer".to_owned());
+            }
+        }
+    }
+
+    /// Requests clearance for the candidate's step, one request at a time. `workers` are ordered by
+    /// free room, the largest first.
+    pub(crate) fn request_clearance(
+        &mut self,
+        candidate: &Candidate,
+        workers: Vec<Incarnation>,
+        now: u64,
+    ) {
+        if self.advice_pending {
+            return;
+        }
+        let Some(entry) = self.jobs.get_mut(&candidate.id) else { return };
+        let step_key = (candidate.occurrence, candidate.step);
+        let clearance = entry.clearances.entry(step_key).or_default();
+        let unknown = workers.into_iter().filter(|worker| clearance.needs_request(worker, now));
+        let workers: Vec<Incarnation> = unknown.take(MAX_WORKERS).collect();
+        if workers.is_empty() {
+            return;
+        }
+        let (job, (occurrence, step)) = (candidate.id.clone(), step_key);
+        let request = ClearanceRequest { job, occurrence, step, workers };
+        self.advice_pending = true;
+        self.outputs.push(Output::RequestClearance { request });
+    }
+}
--- a/crates/entry/src/site/own.rs
+++ b/crates/entry/src/site/own.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quincewheel_dispatch::rows::{OWNER, Ownership};
+use quincewheel_dispatch::rows::{OWNER_KEY, Ownership};
 use quincewheel_dispatch::{Output, Owner, Settings};
 use quincewheel_peer::Command;
 use quincewheel_platform::{self as platform, Space};
@@ -84,14 +84,14 @@
     let draining = shared.gate.draining();
     let mirror = shared.mirror.borrow();
     let mut election = shared.election.borrow_mut();
-    election.stand(mirror.place(&shared.settings.name));
-    election.due(mirror.owner.as_ref(), heard, now, draining)
+    election.set_rank(mirror.candidate_rank(&shared.settings.name));
+    election.should_claim(mirror.owner.as_ref(), heard, now, draining)
 }
 
 /// Writes the ownership row, if it is still as it was seen.
 async fn claim(shared: &Site) {
     let seen = shared.mirror.borrow().owner.clone();
-    let ended = seen.as_ref().is_none_or(|(owner, _)| owner.has_ended(&shared.settings.name));
+    let ended = seen.as_ref().is_none_or(|(owner, _)| owner.grants_ended(&shared.settings.name));
     let (epoch, version) = seen.map_or((0, 0), |(owner, version)| (owner.epoch, version));
     let mine = Ownership {
         holder: shared.settings.name.clone(),
@@ -101,8 +101,8 @@
         settled: false,
     };
     let commit = Commit {
-        expect: vec![Expect { key: OWNER.to_owned(), version }],
-        put: vec![put(OWNER.to_owned(), &mine)],
+        expect: vec![Expect { key: OWNER_KEY.to_owned(), version }],
+        put: vec![put(OWNER_KEY.to_owned(), &mine)],
         delete: Vec::new(),
     };
     let sent = quincewheel_clock::boot();
@@ -130,11 +130,11 @@
         owner.configure(config);
     }
     if let Some(zones) = shared.evacuation.borrow().as_ref() {
-        owner.evacuate(zones, shared.proved.get());
+        owner.set_evacuation(zones, shared.proved.get());
     }
     let mirror = shared.mirror.borrow();
     for (name, _) in mirror.nodes.iter().filter(|(_, node)| !node.entry) {
-        owner.agent(name, now);
+        owner.add_agent(name, now);
     }
     owner.restore_times(&mirror.times);
     for (id, view) in &mirror.jobs {
@@ -182,12 +182,12 @@
     let bounds = shared.bounds.get();
     Settings {
         lease: bounds.lease,
-        stop: bounds.stop,
-        evacuation: bounds.evacuation,
-        reclaim: bounds.reclaim,
-        turn: bounds.turn,
-        maintenance: bounds.maintenance,
-        listed: shared.settings.machines.is_some(),
+        stop_timeout: bounds.stop,
+        evacuation_deadline: bounds.evacuation,
+        reclaim_deadline: bounds.reclaim,
+        fencing_interval: bounds.turn,
+        maintenance_duration: bounds.maintenance,
+        lists_machines: shared.settings.machines.is_some(),
         ..Settings::default()
     }
 }
@@ -229,11 +229,11 @@
         current.configure(config);
     }
     if let Some(zones) = shared.evacuation.borrow().as_ref() {
-        current.evacuate(zones, shared.proved.get());
+        current.set_evacuation(zones, shared.proved.get());
     }
     add_waves(shared, current);
     current.tick(quincewheel_clock::boot(), quincewheel_clock::wall());
-    if current.urgent() {
+    if current.has_urgent_changes() {
         shared.unrecorded.notify_one();
     }
     let mut deposed = None;
@@ -242,17 +242,17 @@
             Output::Send { link, order } => {
                 if !shared.hub.ask(Command::Send { link, frame: Sent::Order(order) }) {
                     log::warn!(event = "hub full", link = link; "connection closed");
-                    current.unlinked(link);
+                    current.on_disconnected(link);
                     shared.hub.ask(Command::Close { link, reason: "too many orders wait" });
                 }
             }
-            Output::Ask { question } => {
-                *shared.question.borrow_mut() = Some(question);
+            Output::RequestClearance { request } => {
+                *shared.question.borrow_mut() = Some(request);
                 shared.asked.notify_one();
             }
-            Output::List => wish(shared, Wish::List),
-            Output::Take { wave, machine } => wish(shared, Wish::Take { wave, machine }),
-            Output::Wave { number, done } => wish(shared, Wish::Tell { number, done }),
+            Output::ListMachines => wish(shared, Wish::List),
+            Output::TakeDown { wave, machine } => wish(shared, Wish::Take { wave, machine }),
+            Output::WaveStatus { number, done } => wish(shared, Wish::Tell { number, done }),
             Output::Close { link } => {
                 shared.hub.ask(Command::Close { link, reason: "silent or replaced" });
             }
@@ -275,7 +275,7 @@
     for (number, wave) in shared.waves.borrow().iter() {
         if !owner.knows_wave(*number) {
             let known = shared.mirror.borrow().waves.get(number).copied();
-            owner.wave(wave, known, quincewheel_clock::wall());
+            owner.add_wave(wave, known, quincewheel_clock::wall());
         }
     }
 }
