--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -143,7 +143,7 @@
         for (id, progress) in &batch.jobs {
             self.on_progress_recorded(id);
             let idle = self.jobs.get(id).is_some_and(|entry| entry.runs.is_empty());
-            if progress.state.ended() && idle && !self.dirty.contains(id) {
+            if progress.state.is_final() && idle && !self.dirty.contains(id) {
                 self.close_job(id);
             }
         }
@@ -152,7 +152,7 @@
     /// Notifies the worker that its ends up to a number are recorded and may be forgotten.
     fn acknowledge(&mut self, ends: &AcknowledgedEnds) {
         let Some(agent) = self.agents.get_mut(&ends.agent) else { return };
-        if agent.worker.as_ref().is_some_and(|worker| worker.is(&ends.worker)) {
+        if agent.worker.as_ref().is_some_and(|worker| worker.is_incarnation(&ends.worker)) {
             agent.acknowledged_end = agent.acknowledged_end.max(ends.number);
             if let Some(link) = agent.link {
                 let (worker, number) = (ends.worker.clone(), ends.number);
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quincewheel_job::{Incarnation, Run, State, Step, Task};
-use quincewheel_policy::{APART, CRASHES};
+use quincewheel_policy::{CRASH_LIMIT, START_ISOLATION_MS};
 use quincewheel_wire::list_starts;
 
 use crate::candidate::Candidate;
@@ -39,7 +39,7 @@
     ) {
         self.log("worker broke", name, format!("{worker} just after {}", list_starts(&starts)));
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let current = agent.worker.as_ref().filter(|known| known.is(&worker));
+        let current = agent.worker.as_ref().filter(|known| known.is_incarnation(&worker));
         if current.is_some_and(|worker| worker.draining) || agent.shutdown_requested {
             return;
         }
@@ -95,7 +95,7 @@
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         // A finished task never starts again, so it could never be cleared, and others would
         // wait for it forever.
-        if entry.progress.state.ended() || entry.progress.done(task) {
+        if entry.progress.state.is_final() || entry.progress.is_done(task) {
             return;
         }
         // A task that has outlived a start is not the cause. But a delayed list may have shown
@@ -103,8 +103,8 @@
         if among > 1 && entry.survived_start.contains(&entry.slot(task_key(task))) {
             return;
         }
-        let before = entry.progress.crashes(&entry.job, task);
-        let crashes = entry.progress.crash(&entry.job, task, run);
+        let before = entry.progress.crash_count(&entry.job, task);
+        let crashes = entry.progress.record_crash(&entry.job, task, run);
         if crashes == before {
             return;
         }
@@ -112,11 +112,11 @@
         entry.crash_unrecorded = true;
         entry.reservations.remove(&(task.occurrence, task.step));
         let detail = format!(
-            "{task} run {run} at {name}, one of {among} just started there: {crashes} of {CRASHES}"
+            "{task} run {run} at {name}, one of {among} just started there: {crashes} of {CRASH_LIMIT}"
         );
         self.log("crash suspected", &task.job, detail);
         self.mark_dirty(&task.job, true);
-        if crashes >= CRASHES {
+        if crashes >= CRASH_LIMIT {
             self.end_job(&task.job, State::Failed, self.now);
         }
     }
@@ -152,7 +152,7 @@
             // An agent's clock starts from zero when its machine reboots.
             let first = placed.first_listed_at.map_or(stamp, |first| first.min(stamp));
             placed.first_listed_at = Some(first);
-            placed.survived_start = stamp >= first + APART;
+            placed.survived_start = stamp >= first + START_ISOLATION_MS;
             if placed.survived_start && entry.gang_survived_start(task_key(&run.task)) {
                 self.on_start_outlived(&run.task);
             }
@@ -173,7 +173,7 @@
         if entry.consecutive_crashes(&task.job, task_key(task)) == 0 {
             return;
         }
-        entry.progress.clear(&entry.job, task);
+        entry.progress.clear_crashes(&entry.job, task);
         self.replan = true;
         self.log("crash cleared", &task.job, format!("{task}: {why}"));
         self.mark_dirty(&task.job, false);
@@ -237,7 +237,7 @@
         placed: &Placement,
         now: u64,
     ) -> Option<RecentStart> {
-        if placed.survived_start || now >= placed.confirmed_at.unwrap_or(now) + APART {
+        if placed.survived_start || now >= placed.confirmed_at.unwrap_or(now) + START_ISOLATION_MS {
             return None;
         }
         Some(if entry.consecutive_crashes(id, key) > 0 {
@@ -261,7 +261,7 @@
     tasks: Vec<u32>,
     now: u64,
 ) -> Vec<(Vec<u32>, bool)> {
-    if !entry.progress.suspected() {
+    if !entry.progress.has_suspects() {
         return vec![(tasks, false)];
     }
     let slot = |index: u32| entry.slot((occurrence, step, index));
@@ -300,7 +300,7 @@
     let waiting = |slot: &Key| !entry.exonerated.contains(slot) && !runs(slot);
     let within_delay = entry.idle_since.is_none_or(|since| now < since + OTHER_STEPS_DELAY_MS);
     let blocks = |slot: Key| within_delay || (slot.0, slot.1) == step;
-    entry.progress.suspects().filter(waiting).any(blocks)
+    entry.progress.suspected_tasks().filter(waiting).any(blocks)
 }
 
 /// Longest time that other steps of an idle job wait until a suspect finds a place. Without a
--- a/crates/dispatch/tests/crashing_pool/mod.rs
+++ b/crates/dispatch/tests/crashing_pool/mod.rs
@@ -226,7 +226,7 @@
     /// Returns the number of starts of a job's tasks, and whether its end is recorded.
     pub fn summary(&self, job: &str) -> String {
         let starts = self.starts.iter().filter(|start| start.starts_with(job)).count();
-        let recorded = self.recorded.get(job).is_some_and(|progress| progress.state.ended());
+        let recorded = self.recorded.get(job).is_some_and(|progress| progress.state.is_final());
         let ended = if recorded { ", ended" } else { "" };
         format!("{job}: {starts} starts{ended}")
     }
