--- a/crates/shard/src/config.rs
+++ b/crates/shard/src/config.rs
@@ -2,9 +2,9 @@
 
 use quincewheel_schema::v1::{DrainRow, GuaranteeRow, TeamRow};
 
-/// The configuration in force at this process. Only ever moves forward: a row
-/// replaces one of a lower configuration version, nothing else, so that a late
-/// or doubled message cannot bring back what was in force before.
+/// The configuration in force at this process. A row replaces only one of a lower
+/// configuration version, so that a late or duplicated message cannot restore an
+/// earlier configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
     version: u64,
@@ -13,8 +13,8 @@
     drains: BTreeMap<String, DrainRow>,
 }
 
-/// Start of the keys of all configuration rows.
-pub(crate) const PREFIX: &str = "conf/";
+/// Key prefix of all configuration rows.
+pub(crate) const CONFIG_KEY_PREFIX: &str = "conf/";
 
 /// One configuration row, by kind.
 #[derive(Clone, Debug, PartialEq)]
@@ -25,9 +25,10 @@
 }
 
 impl Item {
-    /// Reads a stored row. `None` for keys of other kinds or later versions.
+    /// Parses a stored row. Returns `None` for other kinds of keys, such as those of
+    /// later releases, and for unreadable values.
     pub fn parse(key: &str, value: &str) -> Option<Item> {
-        let (kind, _) = key.strip_prefix(PREFIX)?.split_once('/')?;
+        let (kind, _) = key.strip_prefix(CONFIG_KEY_PREFIX)?.split_once('/')?;
         match kind {
             "team" => serde_json::from_str(value).ok().map(Item::Team),
             "guarantee" => serde_json::from_str(value).ok().map(Item::Guarantee),
@@ -38,9 +39,9 @@
 
     pub fn key(&self) -> String {
         match self {
-            Item::Team(row) => format!("{PREFIX}team/{}", row.team),
-            Item::Guarantee(row) => format!("{PREFIX}guarantee/{}", row.team),
-            Item::Drain(row) => format!("{PREFIX}drain/{}", row.worker),
+            Item::Team(row) => format!("{CONFIG_KEY_PREFIX}team/{}", row.team),
+            Item::Guarantee(row) => format!("{CONFIG_KEY_PREFIX}guarantee/{}", row.team),
+            Item::Drain(row) => format!("{CONFIG_KEY_PREFIX}drain/{}", row.worker),
         }
     }
 
@@ -53,7 +54,7 @@
         value.expect("rows are plain data")
     }
 
-    pub fn configuration(&self) -> u64 {
+    pub fn configuration_version(&self) -> u64 {
         match self {
             Item::Team(row) => row.configuration,
             Item::Guarantee(row) => row.configuration,
@@ -72,7 +73,7 @@
 }
 
 impl Config {
-    /// The version in force. 0 until a configuration was seen.
+    /// The version in force; 0 before any configuration was received.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -87,15 +88,15 @@
         self.guarantees.get(team)
     }
 
-    /// True if an operator drained the worker.
+    /// Returns true if an operator drained the worker.
     pub fn is_drained(&self, worker: &str) -> bool {
         self.drains.get(worker).is_some_and(|row| row.drained)
     }
 
-    pub(crate) fn current(&self, key: &str) -> u64 {
+    pub(crate) fn current_version(&self, key: &str) -> u64 {
         let name = key.rsplit('/').next().unwrap_or_default();
         let (kind, _) =
-            key.strip_prefix(PREFIX).and_then(|k| k.split_once('/')).unwrap_or(("", ""));
+            key.strip_prefix(CONFIG_KEY_PREFIX).and_then(|k| k.split_once('/')).unwrap_or(("", ""));
         match kind {
             "team" => self.teams.get(name).map_or(0, |row| row.version),
             "guarantee" => self.guarantees.get(name).map_or(0, |row| row.version),
@@ -103,9 +104,9 @@
         }
     }
 
-    /// Puts a row in force unless a newer one is. True if it was taken.
+    /// Puts a row in force unless a newer one is. Returns true if it did.
     pub(crate) fn apply(&mut self, item: &Item) -> bool {
-        let version = item.configuration();
+        let version = item.configuration_version();
         let before = match item {
             Item::Team(row) => self.teams.get(&row.team).map(|old| old.configuration),
             Item::Guarantee(row) => self.guarantees.get(&row.team).map(|old| old.configuration),
@@ -122,14 +123,14 @@
         true
     }
 
-    /// Notes that all rows up to `version` are in force. True if that changed it.
-    pub(crate) fn reach(&mut self, version: u64) -> bool {
+    /// Marks all rows up to `version` as in force. Returns true if the version grew.
+    pub(crate) fn advance_to(&mut self, version: u64) -> bool {
         let before = self.version;
         self.version = self.version.max(version);
         self.version != before
     }
 
-    /// All rows, for a process that joins.
+    /// All rows, for a process that connects.
     pub(crate) fn rows(&self) -> Vec<(String, String)> {
         let teams = self.teams.values().cloned().map(Item::Team);
         let guarantees = self.guarantees.values().cloned().map(Item::Guarantee);
@@ -138,7 +139,7 @@
         all.map(|item| (item.key(), item.value())).collect()
     }
 
-    /// The row that says whether the worker is drained.
+    /// The worker's drain row.
     pub(crate) fn drain_row(&self, worker: &str) -> Option<(String, String)> {
         let item = Item::Drain(self.drains.get(worker)?.clone());
         Some((item.key(), item.value()))
--- a/crates/shard/src/context.rs
+++ b/crates/shard/src/context.rs
@@ -11,34 +11,34 @@
 use crate::output::Output;
 use crate::settings::Settings;
 
-/// What a node has in either role: its settings, the time, the configuration
-/// in force, its own callers, and what it wants done.
+/// State of a node that does not depend on its role: settings, clock, configuration
+/// in force, calls of its own clients, and pending outputs.
 pub(crate) struct Context {
     pub settings: Settings,
     pub now: Duration,
     pub config: Config,
     pub calls: BTreeMap<u64, Call>,
-    pub out: Vec<Output>,
+    pub outputs: Vec<Output>,
     rng: StdRng,
-    next_store: u64,
+    next_store_id: u64,
 }
 
-/// A call of this entry that is not answered yet.
+/// An unanswered call of this entry.
 pub(crate) struct Call {
     pub ask: Ask,
     /// When its caller stops waiting.
-    pub until: Duration,
-    pub arrived: Duration,
-    /// The connection it was forwarded on.
-    pub sent: Option<LinkId>,
+    pub expires_at: Duration,
+    pub arrived_at: Duration,
+    /// The connection on which it was forwarded.
+    pub forwarded_on: Option<LinkId>,
 }
 
-/// Who waits for an answer of the owner.
+/// The origin of a call to the owner.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Waiter {
     /// A call of this entry.
     Local(u64),
-    /// A call of another entry.
+    /// A call that another entry forwarded.
     Remote(LinkId, u64),
 }
 
@@ -50,33 +50,33 @@
             now: Duration::ZERO,
             config: Config::default(),
             calls: BTreeMap::new(),
-            out: Vec::new(),
+            outputs: Vec::new(),
             rng,
-            next_store: 1,
+            next_store_id: 1,
         }
     }
 
     pub fn send(&mut self, link: LinkId, frame: Frame) {
-        self.out.push(Output::Send { link, frame });
+        self.outputs.push(Output::Send { link, frame });
     }
 
     pub fn close(&mut self, link: LinkId, reason: &'static str) {
-        self.out.push(Output::Close { link, reason });
+        self.outputs.push(Output::Close { link, reason });
     }
 
     pub fn event(&mut self, kind: Kind) {
-        self.out.push(Output::Event(kind));
+        self.outputs.push(Output::Event(kind));
     }
 
-    /// Calls the table and returns the call's name.
+    /// Calls the table and returns the call's id.
     pub fn store(&mut self, op: Op) -> u64 {
-        let id = self.next_store;
-        self.next_store += 1;
-        self.out.push(Output::Store { id, op });
+        let id = self.next_store_id;
+        self.next_store_id += 1;
+        self.outputs.push(Output::Store { id, op });
         id
     }
 
-    /// Answers one waiter. A call of this entry is answered at most once.
+    /// Sends an answer. A call of this entry is answered at most once.
     pub fn answer(&mut self, waiter: &Waiter, answer: Answer) {
         match waiter {
             Waiter::Remote(link, call) => {
@@ -85,9 +85,14 @@
             Waiter::Local(call) => {
                 let Some(pending) = self.calls.remove(call) else { return };
                 if let Ask::Submit(job) = &pending.ask {
-                    self.out.push(Output::Event(answered(*call, &job.team, &job.request, &answer)));
+                    self.outputs.push(Output::Event(answered_event(
+                        *call,
+                        &job.team,
+                        &job.request,
+                        &answer,
+                    )));
                 }
-                self.out.push(Output::Answer { call: *call, answer });
+                self.outputs.push(Output::Answer { call: *call, answer });
             }
         }
     }
@@ -96,13 +101,14 @@
         self.answer(waiter, Answer::Refused(refusal));
     }
 
-    /// Says that nobody can take the call up, and nothing else about it.
+    /// Refuses a call as unavailable, which implies nothing about earlier calls.
     pub fn unavailable(&mut self, waiter: &Waiter, message: &str) {
         let retry_after = self.retry_after(Duration::from_secs(1));
         self.refuse(waiter, Refusal::Unavailable { message: message.to_owned(), retry_after });
     }
 
-    /// `base` to twice `base`, so that refused callers do not come back as one.
+    /// Returns a random duration from `base` to twice `base`, so that refused callers
+    /// do not all retry at once.
     pub fn retry_after(&mut self, base: Duration) -> Duration {
         base + base.mul_f64(self.rng.random::<f64>())
     }
@@ -113,9 +119,9 @@
     }
 }
 
-fn answered(call: u64, team: &str, request: &str, answer: &Answer) -> Kind {
+fn answered_event(call: u64, team: &str, request: &str, answer: &Answer) -> Kind {
     let (outcome, whole) = match answer {
-        Answer::Job { outcome, .. } => (outcome.name(), whole(outcome)),
+        Answer::Job { outcome, .. } => (outcome.name(), has_valid_digest(outcome)),
         _ => ("refused", true),
     };
     Kind::Answered {
@@ -127,8 +133,8 @@
     }
 }
 
-/// True unless an inline result does not match its digest.
-fn whole(outcome: &Outcome) -> bool {
+/// Returns false if an inline result does not match its digest.
+fn has_valid_digest(outcome: &Outcome) -> bool {
     match outcome {
         Outcome::Done { result, object, digest } if object.is_empty() => {
             quincewheel_wire::sha256(result) == *digest
--- a/crates/shard/src/denials.rs
+++ b/crates/shard/src/denials.rs
@@ -1,15 +1,15 @@
-//! Answers that deny: "it did not run", "there is no such job".
+//! Confirmation of answers such as "it did not run" and "there is no such job".
 //!
-//! Only the shard's owner knows that a job did not run, and an owner that was
-//! replaced may not have noticed yet: it was frozen, or cut off. If its caller
-//! tried the same request at another entry meanwhile, the new owner may have
-//! run it. So a denial waits until a transaction that was sent after the denial
-//! was decided has succeeded, which only the owner's does. No clock is trusted.
+//! Only the shard's owner knows that a job did not run, and a replaced owner may
+//! not have noticed its replacement yet: it was frozen or cut off. If its caller
+//! submitted the same request to another entry meanwhile, the new owner may have
+//! run it. So a denial waits until a transaction that was sent after the denial was
+//! decided has succeeded, which only the owner's does. It depends on no clock.
 //!
-//! While the table is down nothing can be confirmed. Then a caller that vouches
-//! that it tries for the first time is told at once that its job did not run:
-//! nobody else can have heard of it. Others are told at once that the call was
-//! not taken up, which says nothing about their earlier tries.
+//! While the table is down nothing can be confirmed. A caller that declares its
+//! first attempt is then answered at once that its job did not run, since no other
+//! node has received it. Other callers are answered at once that the call was not
+//! accepted, which implies nothing about their earlier attempts.
 
 use std::time::Duration;
 
@@ -19,87 +19,93 @@
 use crate::context::{Context, Waiter};
 use crate::owner::Owner;
 
-/// A denial that waits for its confirmation.
+/// A denial that waits for confirmation.
 pub(crate) struct Denial {
-    since: Duration,
+    decided_at: Duration,
     waiter: Waiter,
     answer: Answer,
 }
 
-/// What a denial can rest on.
+/// What a denial is based on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Proof {
-    /// The caller vouches that there was no other try.
-    Vouched,
-    /// Any run would have left a record.
+pub(crate) enum Basis {
+    /// The caller declares that it made no other attempt.
+    FirstAttempt,
+    /// Any run would have left a row.
     Record,
-    /// An earlier owner may have run it without a record.
+    /// An earlier owner may have run it without a row.
     None,
 }
 
-impl Proof {
-    /// What denials about this job rest on.
-    pub fn about(job: &Job) -> Proof {
+impl Basis {
+    /// Returns the basis of denials about this job.
+    pub fn of(job: &Job) -> Basis {
         match (job.first && !job.again, job.recorded()) {
-            (true, _) => Proof::Vouched,
-            (false, true) => Proof::Record,
-            (false, false) => Proof::None,
+            (true, _) => Basis::FirstAttempt,
+            (false, true) => Basis::Record,
+            (false, false) => Basis::None,
         }
     }
 }
 
-/// Most denials that wait; more are answered as not taken up.
-const MOST: usize = 8192;
+/// Denials that wait for confirmation; further ones are answered as unavailable.
+const MAX_DENIALS: usize = 8192;
 
 impl Owner {
-    /// Gives an answer, once it is confirmed if it is a denial.
-    pub(crate) fn say(&mut self, cx: &mut Context, waiter: &Waiter, answer: Answer, by: Proof) {
-        if by == Proof::Vouched || !denies(&answer) {
+    /// Sends an answer; a denial only once it is confirmed.
+    pub(crate) fn reply(
+        &mut self,
+        cx: &mut Context,
+        waiter: &Waiter,
+        answer: Answer,
+        basis: Basis,
+    ) {
+        if basis == Basis::FirstAttempt || !is_denial(&answer) {
             cx.answer(waiter, answer);
-        } else if by == Proof::None {
+        } else if basis == Basis::None {
             let text = "it does not run now; whether an earlier try ran is not known, since \
                         idempotent jobs that are waited for leave no record";
             cx.unavailable(waiter, text);
-        } else if self.store_down(cx) || self.denials.len() >= MOST {
-            self.say_nothing(cx, waiter);
+        } else if self.is_store_down(cx) || self.denials.len() >= MAX_DENIALS {
+            self.reply_unavailable(cx, waiter);
         } else {
-            let denial = Denial { since: cx.now, waiter: waiter.clone(), answer };
+            let denial = Denial { decided_at: cx.now, waiter: waiter.clone(), answer };
             self.denials.push(denial);
         }
     }
 
-    /// Tells where a job stands.
-    pub(crate) fn say_job(&mut self, cx: &mut Context, id: JobId, waiter: &Waiter) {
+    /// Answers with the job's present state.
+    pub(crate) fn reply_with_job(&mut self, cx: &mut Context, id: JobId, waiter: &Waiter) {
         let record = &self.jobs[&id];
-        let (answer, proof) = (record.answer(), Proof::about(&record.job));
-        self.say(cx, waiter, answer, proof);
+        let (answer, basis) = (record.answer(), Basis::of(&record.job));
+        self.reply(cx, waiter, answer, basis);
     }
 
-    /// Gives the denials that a transaction sent at `sent` confirms.
-    pub(crate) fn confirm_denials(&mut self, cx: &mut Context, sent: Duration) {
+    /// Sends the denials that a transaction sent at `sent_at` confirms.
+    pub(crate) fn confirm_denials(&mut self, cx: &mut Context, sent_at: Duration) {
         let (confirmed, waiting): (Vec<Denial>, Vec<Denial>) =
-            std::mem::take(&mut self.denials).into_iter().partition(|d| d.since <= sent);
+            std::mem::take(&mut self.denials).into_iter().partition(|d| d.decided_at <= sent_at);
         self.denials = waiting;
         for denial in confirmed {
             cx.answer(&denial.waiter, denial.answer);
         }
     }
 
-    /// Nothing can be confirmed now.
-    pub(crate) fn give_up_denials(&mut self, cx: &mut Context) {
+    /// Answers all waiting denials as unavailable, since none can be confirmed now.
+    pub(crate) fn abandon_denials(&mut self, cx: &mut Context) {
         for denial in std::mem::take(&mut self.denials) {
-            self.say_nothing(cx, &denial.waiter);
+            self.reply_unavailable(cx, &denial.waiter);
         }
     }
 
-    fn say_nothing(&self, cx: &mut Context, waiter: &Waiter) {
+    fn reply_unavailable(&self, cx: &mut Context, waiter: &Waiter) {
         let text = "the table service does not answer, so the call was not taken up and nothing \
                     can be said about earlier tries; ask again with the same request id";
         cx.unavailable(waiter, text);
     }
 }
 
-fn denies(answer: &Answer) -> bool {
+fn is_denial(answer: &Answer) -> bool {
     match answer {
         Answer::Job { outcome, .. } => {
             matches!(outcome, Outcome::NotRun { .. } | Outcome::CancelledNotRun)
--- a/crates/shard/src/input.rs
+++ b/crates/shard/src/input.rs
@@ -1,56 +1,56 @@
 use quincewheel_store::{Error, Reply};
 use quincewheel_wire::{Ask, Frame, Hello, LinkId};
 
-/// What a node is told.
+/// An input of a [`Node`](crate::Node).
 #[derive(Debug)]
 pub enum Input {
-    /// A caller or an operator called this entry.
+    /// A client or an operator called this entry.
     Call {
-        /// Names the call within this process.
+        /// Id of the call within this process.
         call: u64,
-        /// SHA-256 of the bearer key that came with it, in hexadecimal.
+        /// SHA-256 of the call's bearer key, in hexadecimal.
         key_digest: String,
-        /// What is wanted.
+        /// The request.
         ask: Ask,
     },
-    /// The caller of `call` is gone.
+    /// The caller of `call` disconnected.
     Hangup {
-        /// The call.
+        /// Id of the call.
         call: u64,
     },
     /// A connection was authenticated.
     Linked {
-        /// Names it within this process.
+        /// Id of the connection within this process.
         link: LinkId,
-        /// Who is at the other end.
+        /// The other end's role, name and incarnation.
         hello: Hello,
         /// The address that was dialled; empty if the other end dialled.
         dialled: String,
     },
-    /// A connection is gone.
+    /// A connection was closed.
     Unlinked {
-        /// The connection.
+        /// Id of the connection.
         link: LinkId,
     },
-    /// A dial did not succeed.
+    /// A dial failed.
     Undialled {
-        /// The address.
+        /// The address that was dialled.
         address: String,
     },
-    /// A frame came.
+    /// A frame was received.
     Frame {
-        /// On which connection.
+        /// Connection on which it arrived.
         link: LinkId,
         /// The frame.
         frame: Frame,
     },
-    /// The table service answered.
+    /// The table service replied, or the call to it failed.
     Store {
-        /// Names the call to the table.
+        /// Id of the call to the table.
         id: u64,
-        /// Its answer.
+        /// Its result.
         result: Result<Reply, Error>,
     },
-    /// The process is to end: hand over and take nothing new.
+    /// The process shuts down: release ownership and accept nothing new.
     Drain,
 }
--- a/crates/shard/src/ledger.rs
+++ b/crates/shard/src/ledger.rs
@@ -7,43 +7,42 @@
 use quincewheel_wire::Attempt;
 
 use crate::context::Context;
-use crate::rows::OWNER;
+use crate::rows::OWNER_KEY;
 
-/// The owner's way of writing to the table: one transaction at a time, each
-/// with all that has gathered since the last.
+/// Writes the owner's rows to the table: one transaction at a time, each with all
+/// writes queued since the last.
 ///
-/// Every transaction expects the ownership row at the version that the last
-/// one gave it, and replaces it. That one expectation does three things: it
-/// makes a deposed owner's commits fail, it names the transaction by its
-/// sequence number so that a lost answer is settled by reading the row, and it
-/// makes a repeated transaction take effect at most once.
+/// Every transaction expects the ownership row at the version that the last one
+/// gave it, and replaces it. Hence a deposed owner's commits fail, a transaction
+/// whose reply was lost is found by its sequence number in the row, and a repeated
+/// transaction takes effect at most once.
 pub(crate) struct Ledger {
     row: OwnerRow,
     version: u64,
     queue: VecDeque<Write>,
-    flight: Option<Flight>,
-    renewed: Duration,
+    in_flight: Option<Transaction>,
+    renewed_at: Duration,
     backoff: Duration,
 }
 
-/// Names a write, so that its completion can be told.
+/// Identifies a write, so that its completion can be handled.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Tag {
-    /// The job's row is there: it may be promised to its caller.
+    /// The job's row is written: its caller can be answered.
     Accept(JobId),
-    /// The attempt may start.
+    /// The start is recorded: the attempt may start.
     Start(JobId, Attempt),
-    /// The job's outcome is kept.
+    /// The job's outcome is recorded.
     Finish(JobId),
-    /// The configuration row of this key is recorded.
+    /// The configuration row with this key is recorded.
     Config(String),
-    /// Nobody waits for it.
-    Tidy,
-    /// Ownership is given up.
+    /// No action follows its completion.
+    Cleanup,
+    /// Ownership is released.
     Release,
 }
 
-/// One row to write, or to delete.
+/// One row to write or, without a value, to delete.
 #[derive(Clone, Debug)]
 pub(crate) struct Write {
     pub tag: Tag,
@@ -51,26 +50,26 @@
     pub value: Option<String>,
 }
 
-struct Flight {
+struct Transaction {
     writes: Vec<Write>,
     row: OwnerRow,
-    since: Duration,
+    first_sent_at: Duration,
     state: State,
 }
 
 enum State {
     /// The commit was sent.
-    Sent { id: u64, at: Duration },
-    /// Its answer was lost: read the row at that time.
+    Sent { id: u64, sent_at: Duration },
+    /// The commit's result is unknown; the ownership row is to be read at `read_at`.
     Unclear { read_at: Duration },
-    /// The row is being read.
-    Reading { id: u64, at: Duration },
+    /// The ownership row is being read.
+    Reading { id: u64, sent_at: Duration },
 }
 
-/// What an answer of the table meant.
-pub(crate) enum Step {
-    /// The answer was for someone else, or decides nothing yet.
-    Nothing,
+/// The result of a reply of the table.
+pub(crate) enum CommitResult {
+    /// The reply belongs to another call, or does not decide the transaction.
+    Undecided,
     /// These writes took effect, in a transaction first sent at that time.
     Committed(Vec<Tag>, Duration),
     /// Another node owns the shard.
@@ -79,19 +78,20 @@
 
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
-/// The table client's own timeout is shorter; this is for an answer that never
-/// comes back from the thread that calls it.
-const ANSWER: Duration = Duration::from_secs(4);
+/// A commit or read without a reply has an unknown result after this time. Longer
+/// than the table client's own timeout; covers a reply that is lost between
+/// threads.
+const STORE_REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Ledger {
-    /// A ledger for an ownership row that was just written at `version`.
-    pub fn open(row: OwnerRow, version: u64, now: Duration) -> Ledger {
+    /// Creates a ledger for an ownership row that was just written at `version`.
+    pub fn new(row: OwnerRow, version: u64, now: Duration) -> Ledger {
         Ledger {
             row,
             version,
             queue: VecDeque::new(),
-            flight: None,
-            renewed: now,
+            in_flight: None,
+            renewed_at: now,
             backoff: BACKOFF_MIN,
         }
     }
@@ -101,74 +101,82 @@
         self.queue.push_back(write);
     }
 
-    /// Takes a write back. False if it is in flight, so that it may already
-    /// have taken effect, or if it is not there.
+    /// Withdraws a queued write. Returns false if it is in flight and may have taken
+    /// effect, or if there is none.
     pub fn withdraw(&mut self, tag: &Tag) -> bool {
         let before = self.queue.len();
         self.queue.retain(|write| write.tag != *tag);
         self.queue.len() < before
     }
 
-    /// True while the table does not answer. New work that needs a record is
-    /// refused then, rather than held. One lost answer is no outage: a
-    /// transaction stays in flight until it is settled, and only one that stays
-    /// longer than `patience` tells of one.
-    pub fn down(&self, patience: Duration, now: Duration) -> bool {
-        self.flight.as_ref().is_some_and(|flight| now - flight.since > patience)
+    /// Returns true while the table does not answer; new work that needs a record is
+    /// then refused instead of queued. One lost reply is no outage: a transaction stays
+    /// in flight until its result is known, and only one in flight for longer than
+    /// `timeout` counts.
+    pub fn is_down(&self, timeout: Duration, now: Duration) -> bool {
+        self.in_flight.as_ref().is_some_and(|transaction| now - transaction.first_sent_at > timeout)
     }
 
-    /// Sends what is due.
-    pub fn pump(&mut self, cx: &mut Context, force: bool) {
+    /// Sends a commit or a read that is due. With `force`, commits even without queued
+    /// writes.
+    pub fn send_due(&mut self, cx: &mut Context, force: bool) {
         let now = cx.now;
-        let lapsed = |at: Duration| now.saturating_sub(at) >= ANSWER;
-        match &self.flight {
+        let timed_out = |sent_at: Duration| now.saturating_sub(sent_at) >= STORE_REPLY_TIMEOUT;
+        match &self.in_flight {
             None => {
-                let due = now.saturating_sub(self.renewed) >= cx.settings.renewal_interval;
+                let due = now.saturating_sub(self.renewed_at) >= cx.settings.renewal_interval;
                 if !self.queue.is_empty() || due || force {
-                    self.fly(cx);
+                    self.begin_transaction(cx);
                 }
             }
-            Some(Flight { state: State::Sent { at, .. } | State::Reading { at, .. }, .. })
-                if lapsed(*at) =>
-            {
-                self.unclear(now);
+            Some(Transaction {
+                state: State::Sent { sent_at, .. } | State::Reading { sent_at, .. },
+                ..
+            }) if timed_out(*sent_at) => {
+                self.schedule_read(now);
             }
-            Some(Flight { state: State::Unclear { read_at }, .. }) if now >= *read_at => {
-                let read = Read { prefix: OWNER.to_owned(), after: String::new(), limit: 1 };
+            Some(Transaction { state: State::Unclear { read_at }, .. }) if now >= *read_at => {
+                let read = Read { prefix: OWNER_KEY.to_owned(), after: String::new(), limit: 1 };
                 let id = cx.store(Op::Read(read));
-                self.set_state(State::Reading { id, at: now });
+                self.set_state(State::Reading { id, sent_at: now });
             }
             Some(_) => {}
         }
     }
 
-    /// Makes a transaction of what has gathered.
-    fn fly(&mut self, cx: &mut Context) {
-        let take = self.queue.len().min(cx.settings.max_batch_rows);
-        let writes: Vec<Write> = self.queue.drain(..take).collect();
+    /// Starts a transaction with the queued writes.
+    fn begin_transaction(&mut self, cx: &mut Context) {
+        let count = self.queue.len().min(cx.settings.max_batch_rows);
+        let writes: Vec<Write> = self.queue.drain(..count).collect();
         let mut row = self.row.clone();
         row.sequence += 1;
         if writes.iter().any(|write| write.tag == Tag::Release) {
             row.address.clear();
         }
-        let flight =
-            Flight { writes, row, since: cx.now, state: State::Unclear { read_at: cx.now } };
-        self.flight = Some(flight);
-        self.transmit(cx);
+        let transaction = Transaction {
+            writes,
+            row,
+            first_sent_at: cx.now,
+            state: State::Unclear { read_at: cx.now },
+        };
+        self.in_flight = Some(transaction);
+        self.send_commit(cx);
     }
 
     /// Sends the transaction in flight, for the first time or again.
-    fn transmit(&mut self, cx: &mut Context) {
-        let Some(flight) = &self.flight else { return };
+    fn send_commit(&mut self, cx: &mut Context) {
+        let Some(transaction) = &self.in_flight else { return };
         let mut commit = Commit {
-            expect: vec![Expect { key: OWNER.to_owned(), version: self.version }],
+            expect: vec![Expect { key: OWNER_KEY.to_owned(), version: self.version }],
             ..Commit::default()
         };
-        let value = serde_json::to_string(&flight.row).expect("rows are plain data");
-        commit.put.push(Put { key: OWNER.to_owned(), value });
-        // A row written twice in one transaction keeps the later write.
-        for (at, write) in flight.writes.iter().enumerate() {
-            if write.key.is_empty() || flight.writes[at + 1..].iter().any(|w| w.key == write.key) {
+        let value = serde_json::to_string(&transaction.row).expect("rows are plain data");
+        commit.put.push(Put { key: OWNER_KEY.to_owned(), value });
+        // Of several writes to one row in a transaction the last one is kept.
+        for (index, write) in transaction.writes.iter().enumerate() {
+            if write.key.is_empty()
+                || transaction.writes[index + 1..].iter().any(|w| w.key == write.key)
+            {
                 continue;
             }
             match &write.value {
@@ -179,76 +187,81 @@
             }
         }
         let id = cx.store(Op::Commit(commit));
-        self.set_state(State::Sent { id, at: cx.now });
+        self.set_state(State::Sent { id, sent_at: cx.now });
     }
 
-    /// Takes an answer of the table.
-    pub fn on_reply(&mut self, cx: &mut Context, id: u64, result: &Result<Reply, Error>) -> Step {
-        let Some(flight) = &self.flight else { return Step::Nothing };
-        match (&flight.state, result) {
+    /// Handles a reply of the table.
+    pub fn on_reply(
+        &mut self,
+        cx: &mut Context,
+        id: u64,
+        result: &Result<Reply, Error>,
+    ) -> CommitResult {
+        let Some(transaction) = &self.in_flight else { return CommitResult::Undecided };
+        match (&transaction.state, result) {
             (State::Sent { id: sent, .. }, _) if *sent == id => self.on_commit(cx, result),
             (State::Reading { id: read, .. }, _) if *read == id => self.on_read(cx, result),
-            _ => Step::Nothing,
+            _ => CommitResult::Undecided,
         }
     }
 
-    fn on_commit(&mut self, cx: &mut Context, result: &Result<Reply, Error>) -> Step {
+    fn on_commit(&mut self, cx: &mut Context, result: &Result<Reply, Error>) -> CommitResult {
         match result {
-            Ok(Reply::Committed(version)) => self.done(cx.now, *version),
-            // The row may have moved on because an earlier sending of this very
-            // transaction took effect: only reading it can tell.
+            Ok(Reply::Committed(version)) => self.complete(cx.now, *version),
+            // The row may have changed because an earlier copy of this transaction took
+            // effect; reading it shows whether it did.
             Err(Error::Conflict { .. }) => {
                 self.set_state(State::Unclear { read_at: cx.now });
-                self.pump(cx, false);
-                Step::Nothing
+                self.send_due(cx, false);
+                CommitResult::Undecided
             }
             _ => {
-                self.unclear(cx.now);
-                Step::Nothing
+                self.schedule_read(cx.now);
+                CommitResult::Undecided
             }
         }
     }
 
-    fn on_read(&mut self, cx: &mut Context, result: &Result<Reply, Error>) -> Step {
+    fn on_read(&mut self, cx: &mut Context, result: &Result<Reply, Error>) -> CommitResult {
         let Ok(Reply::Page(page)) = result else {
-            self.unclear(cx.now);
-            return Step::Nothing;
+            self.schedule_read(cx.now);
+            return CommitResult::Undecided;
         };
-        let Some(flight) = &self.flight else { return Step::Nothing };
-        let Some(row) = page.rows.iter().find(|row| row.key == OWNER) else {
-            return Step::Deposed;
+        let Some(transaction) = &self.in_flight else { return CommitResult::Undecided };
+        let Some(row) = page.rows.iter().find(|row| row.key == OWNER_KEY) else {
+            return CommitResult::Deposed;
         };
         if row.version == self.version {
-            // Not taken yet. Sending it again is safe: of all copies at most
-            // one finds the version that it expects.
-            self.transmit(cx);
-            return Step::Nothing;
+            // Not committed yet. Sending it again is safe: at most one copy finds the version
+            // that it expects.
+            self.send_commit(cx);
+            return CommitResult::Undecided;
         }
         match serde_json::from_str::<OwnerRow>(&row.value) {
-            Ok(stored) if stored == flight.row => self.done(cx.now, row.version),
-            _ => Step::Deposed,
+            Ok(stored) if stored == transaction.row => self.complete(cx.now, row.version),
+            _ => CommitResult::Deposed,
         }
     }
 
-    fn done(&mut self, now: Duration, version: u64) -> Step {
-        let Some(flight) = self.flight.take() else { return Step::Nothing };
-        self.row = flight.row;
+    fn complete(&mut self, now: Duration, version: u64) -> CommitResult {
+        let Some(transaction) = self.in_flight.take() else { return CommitResult::Undecided };
+        self.row = transaction.row;
         self.version = version;
-        self.renewed = now;
+        self.renewed_at = now;
         self.backoff = BACKOFF_MIN;
-        let tags = flight.writes.into_iter().map(|write| write.tag).collect();
-        Step::Committed(tags, flight.since)
+        let tags = transaction.writes.into_iter().map(|write| write.tag).collect();
+        CommitResult::Committed(tags, transaction.first_sent_at)
     }
 
-    fn unclear(&mut self, now: Duration) {
+    fn schedule_read(&mut self, now: Duration) {
         let read_at = now + self.backoff;
         self.backoff = (self.backoff * 2).min(BACKOFF_MAX);
         self.set_state(State::Unclear { read_at });
     }
 
     fn set_state(&mut self, state: State) {
-        if let Some(flight) = &mut self.flight {
-            flight.state = state;
+        if let Some(transaction) = &mut self.in_flight {
+            transaction.state = state;
         }
     }
 }
--- a/crates/shard/src/lib.rs
+++ b/crates/shard/src/lib.rs
@@ -1,10 +1,10 @@
-//! The brain of an entry: who owns the shard, what became of each job, what is
-//! recorded and when an answer may be given.
+//! State machine of an entry: ownership of the shard, scheduling and outcomes of
+//! its jobs, and their records.
 //!
-//! [`Node`] performs no I/O. It is handed an [`Input`] and the time, and gives
-//! back [`Output`]s to carry out. A node follows (`follower`) or owns (`owner`)
-//! its shard. What must last goes through the table by way of `ledger`, which
-//! commits in groups and settles lost answers.
+//! [`Node`] performs no I/O. It takes [`Input`]s with the time and returns
+//! [`Output`]s to carry out. A node is either a follower (`follower`) or the owner
+//! (`owner`) of its shard. Durable state is written through `ledger`, which batches
+//! commits and resolves those whose reply was lost.
 
 mod config;
 mod context;
--- a/crates/shard/src/output.rs
+++ b/crates/shard/src/output.rs
@@ -2,19 +2,19 @@
 use quincewheel_store::Op;
 use quincewheel_wire::{Answer, Frame, LinkId};
 
-/// What a node wants done.
+/// An action that a [`Node`](crate::Node) requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Answer a call of this entry.
     Answer {
-        /// The call.
+        /// Id of the call.
         call: u64,
         /// The answer.
         answer: Answer,
     },
     /// Send a frame.
     Send {
-        /// On which connection.
+        /// Connection on which to send it.
         link: LinkId,
         /// The frame.
         frame: Frame,
@@ -26,18 +26,18 @@
     },
     /// Close a connection.
     Close {
-        /// The connection.
+        /// Id of the connection.
         link: LinkId,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: &'static str,
     },
     /// Call the table service.
     Store {
-        /// Names the call.
+        /// Id of the call, which its reply repeats.
         id: u64,
-        /// The call.
+        /// The operation.
         op: Op,
     },
-    /// Note an event.
+    /// Record an audit event.
     Event(Kind),
 }
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -9,18 +9,17 @@
 use crate::config::Item;
 use crate::context::{Context, Waiter};
 use crate::denials::Denial;
-use crate::ledger::{Ledger, Step as Settled, Tag, Write};
-use crate::member::{Agent, Lag, Peer, Seen};
+use crate::ledger::{CommitResult, Ledger, Tag, Write};
+use crate::member::{Agent, ConfigTracker, Peer, SeenCalls};
 use crate::record::Record;
 use crate::refusals::Refusals;
 use crate::takeover::Load;
 
-/// The node that decides for the shard.
+/// The node that owns the shard and decides for it.
 ///
-/// This file holds its state and the routing of inputs; what it does with
-/// them is in `job` (callers' wishes), `starts` (placing and starting),
-/// `reports` (how work ended), `takeover` (rows and inventories) and `views`
-/// (operators).
+/// This file holds its state and dispatches inputs. The handlers are in `job`
+/// (client calls), `starts` (placement and starts), `reports` (ends of attempts),
+/// `takeover` (stored rows and agents' inventories) and `views` (operators' calls).
 pub(crate) struct Owner {
     pub(crate) row: OwnerRow,
     pub(crate) ledger: Ledger,
@@ -29,76 +28,76 @@
     pub(crate) agents: BTreeMap<String, Agent>,
     pub(crate) peers: BTreeMap<LinkId, Peer>,
     pub(crate) jobs: BTreeMap<JobId, Record>,
-    pub(crate) keys: BTreeMap<(String, String), JobId>,
-    pub(crate) attempts: BTreeMap<Attempt, JobId>,
-    /// Configuration rows on their way to the table, by key.
+    pub(crate) jobs_by_request: BTreeMap<(String, String), JobId>,
+    pub(crate) jobs_by_attempt: BTreeMap<Attempt, JobId>,
+    /// Configuration rows whose commit is pending, by key.
     pub(crate) staged: BTreeMap<String, Staged>,
     pub(crate) refusals: Refusals,
-    /// Recorded jobs that wait for the table before they wait for accelerators.
+    /// Stored jobs that are queued only once the table is available again.
     pub(crate) parked: BTreeSet<JobId>,
-    /// Calls that came while rows were loading.
+    /// Calls received while rows were loading.
     pub(crate) backlog: Vec<(Waiter, Ask)>,
-    /// Answers that wait for a proof of ownership.
+    /// Denials that wait until ownership is confirmed.
     pub(crate) denials: Vec<Denial>,
-    /// Something changed that may let a job start.
+    /// Set when something changed that may let a job start.
     pub(crate) dirty: bool,
-    pub(crate) active_since: Duration,
-    pub(crate) next_job: JobId,
-    pub(crate) next_attempt: u32,
-    next_beat: Duration,
-    next_sweep: Duration,
+    pub(crate) activated_at: Duration,
+    pub(crate) next_job_id: JobId,
+    pub(crate) next_attempt_number: u32,
+    next_heartbeat_at: Duration,
+    next_cleanup_at: Duration,
 }
 
-/// A configuration change that is being recorded.
+/// A configuration change whose commit is pending.
 pub(crate) struct Staged {
     pub item: Item,
     pub waiter: Waiter,
-    /// Callers that wanted to change the same row meanwhile. They are told the
-    /// version in force once it is in force, not before.
-    pub losers: Vec<Waiter>,
-    pub since: Duration,
+    /// Callers that tried to change the same row meanwhile. They are refused with the
+    /// new version, but only after it is in force.
+    pub conflicting: Vec<Waiter>,
+    pub staged_at: Duration,
 }
 
-/// What the node does after the owner took an input.
-pub(crate) enum After {
-    /// Nothing.
-    Stay,
-    /// Give the role up: another node has it.
+/// What the node does with its role after an input.
+pub(crate) enum RoleChange {
+    /// Keeps the role.
+    Keep,
+    /// Becomes a follower: another node owns the shard, or this one released it.
     StepDown,
 }
 
-/// Most calls kept while rows are loading.
-const BACKLOG: usize = 4096;
-const SWEEP: Duration = Duration::from_secs(1);
-/// A quarantined worker is tried again after this time.
-const PROBATION: Duration = Duration::from_secs(60);
+/// Calls queued while rows are loading; further ones are refused.
+const MAX_BACKLOG_CALLS: usize = 4096;
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which a quarantined worker is given work again.
+const QUARANTINE_DURATION: Duration = Duration::from_secs(60);
 
 impl Owner {
-    /// The owner by a row that was just written at `version`.
-    pub fn open(cx: &mut Context, row: OwnerRow, version: u64) -> Owner {
+    /// Creates the owner from an ownership row that was just written at `version`.
+    pub fn new(cx: &mut Context, row: OwnerRow, version: u64) -> Owner {
         let mut owner = Owner {
-            ledger: Ledger::open(row.clone(), version, cx.now),
+            ledger: Ledger::new(row.clone(), version, cx.now),
             row,
-            load: Load::start(),
+            load: Load::new(),
             pool: Pool::new(cx.settings.limits),
             agents: BTreeMap::new(),
             peers: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            attempts: BTreeMap::new(),
+            jobs_by_request: BTreeMap::new(),
+            jobs_by_attempt: BTreeMap::new(),
             staged: BTreeMap::new(),
             refusals: Refusals::default(),
             parked: BTreeSet::new(),
             backlog: Vec::new(),
             denials: Vec::new(),
             dirty: false,
-            active_since: cx.now,
-            next_job: 1,
-            next_attempt: 1,
-            next_beat: cx.now,
-            next_sweep: cx.now,
+            activated_at: cx.now,
+            next_job_id: 1,
+            next_attempt_number: 1,
+            next_heartbeat_at: cx.now,
+            next_cleanup_at: cx.now,
         };
-        owner.load_next(cx);
+        owner.read_next_page(cx);
         owner
     }
 
@@ -106,32 +105,32 @@
         self.row.epoch
     }
 
-    /// True once all rows are read.
-    pub fn active(&self) -> bool {
-        self.load.finished()
+    /// Returns true once all rows have been read.
+    pub fn is_active(&self) -> bool {
+        self.load.is_finished()
     }
 
-    pub fn store_down(&self, cx: &Context) -> bool {
-        self.ledger.down(cx.settings.store_down_after, cx.now)
+    pub fn is_store_down(&self, cx: &Context) -> bool {
+        self.ledger.is_down(cx.settings.store_down_after, cx.now)
     }
 
-    pub fn linked(&mut self, cx: &mut Context, link: LinkId, hello: &Hello) {
+    pub fn on_connected(&mut self, cx: &mut Context, link: LinkId, hello: &Hello) {
         if hello.role == Role::Entry {
             let peer = Peer::Entry {
                 name: hello.name.clone(),
-                heard: cx.now,
-                lag: Lag::default(),
-                seen: Seen::default(),
+                last_seen: cx.now,
+                config_tracker: ConfigTracker::default(),
+                seen_calls: SeenCalls::default(),
             };
             self.peers.insert(link, peer);
-            if self.active() {
-                self.configure(cx, link);
+            if self.is_active() {
+                self.send_configuration(cx, link);
             }
         }
-        // An agent counts from its announcement on.
+        // An agent is registered by its announcement.
     }
 
-    pub fn unlinked(&mut self, cx: &mut Context, link: LinkId) {
+    pub fn on_disconnected(&mut self, cx: &mut Context, link: LinkId) {
         match self.peers.remove(&link) {
             Some(Peer::Agent { worker }) => {
                 if let Some(agent) = self.agents.get_mut(&worker)
@@ -142,142 +141,148 @@
                 }
             }
             Some(Peer::Entry { .. }) => {
-                // Its calls come back on another connection, or not at all.
+                // The calls come again on another connection, or not at all.
                 for record in self.jobs.values_mut() {
-                    let gone = |w: &Waiter| matches!(w, Waiter::Remote(l, _) if *l == link);
-                    record.waiters.retain(|waiting| !gone(&waiting.waiter));
+                    let is_on_link = |w: &Waiter| matches!(w, Waiter::Remote(l, _) if *l == link);
+                    record.waiters.retain(|waiting| !is_on_link(&waiting.waiter));
                 }
             }
             None => {}
         }
     }
 
-    pub fn frame(&mut self, cx: &mut Context, link: LinkId, frame: Frame) -> After {
-        self.note_heard(cx, link, &frame);
+    pub fn on_frame(&mut self, cx: &mut Context, link: LinkId, frame: Frame) -> RoleChange {
+        self.record_contact(cx, link, &frame);
         match frame {
             Frame::Announce { epoch, .. } | Frame::Beat { epoch, .. } | Frame::Fenced { epoch }
                 if epoch > self.row.epoch =>
             {
                 // The sender has seen a later owner than this one.
-                return After::StepDown;
+                return RoleChange::StepDown;
             }
             Frame::Announce { member, latest, inventory, .. } => {
-                if self.active() {
-                    self.announced(cx, link, member, latest, inventory);
+                if self.is_active() {
+                    self.on_announced(cx, link, member, latest, inventory);
                 } else {
-                    // Without the rows an inventory cannot be judged; the agent
-                    // announces itself again on its next connection.
+                    // Without the rows an inventory cannot be checked; the agent announces itself
+                    // again on its next connection.
                     cx.close(link, "rows are still loading");
                 }
             }
             Frame::Ask { call, ask } => {
-                if let Some(Peer::Entry { seen, .. }) = self.peers.get_mut(&link)
-                    && seen.first(call)
+                if let Some(Peer::Entry { seen_calls, .. }) = self.peers.get_mut(&link)
+                    && seen_calls.insert(call)
                 {
-                    self.ask(cx, Waiter::Remote(link, call), ask);
+                    self.on_call(cx, Waiter::Remote(link, call), ask);
                 }
             }
-            Frame::Hangup { call } => self.hangup(cx, &Waiter::Remote(link, call)),
-            Frame::Prepared { attempt } => self.prepared(cx, link, attempt),
-            Frame::Declined { attempt, reason } => self.declined(cx, link, attempt, &reason),
-            Frame::Ended { attempt, report } => self.ended(cx, link, attempt, report),
-            Frame::Unsure { attempt } => self.unsure(cx, link, attempt),
-            Frame::Leaving { leaving } => self.leaving(cx, link, leaving),
+            Frame::Hangup { call } => self.on_hangup(cx, &Waiter::Remote(link, call)),
+            Frame::Prepared { attempt } => self.on_prepared(cx, link, attempt),
+            Frame::Declined { attempt, reason } => self.on_declined(cx, link, attempt, &reason),
+            Frame::Ended { attempt, report } => self.on_ended(cx, link, attempt, report),
+            Frame::Unsure { attempt } => self.on_unsure(cx, link, attempt),
+            Frame::Leaving { leaving } => self.on_leaving(cx, link, leaving),
             _ => {}
         }
-        After::Stay
+        RoleChange::Keep
     }
 
-    pub fn on_store(&mut self, cx: &mut Context, id: u64, result: &Result<Reply, Error>) -> After {
-        if self.on_load(cx, id, result) {
-            return After::Stay;
+    pub fn on_store_reply(
+        &mut self,
+        cx: &mut Context,
+        id: u64,
+        result: &Result<Reply, Error>,
+    ) -> RoleChange {
+        if self.on_load_reply(cx, id, result) {
+            return RoleChange::Keep;
         }
         match self.ledger.on_reply(cx, id, result) {
-            Settled::Nothing => After::Stay,
-            Settled::Deposed => After::StepDown,
-            Settled::Committed(tags, sent) => {
-                self.confirm_denials(cx, sent);
+            CommitResult::Undecided => RoleChange::Keep,
+            CommitResult::Deposed => RoleChange::StepDown,
+            CommitResult::Committed(tags, sent_at) => {
+                self.confirm_denials(cx, sent_at);
                 let released = tags.contains(&Tag::Release);
                 for tag in tags {
-                    self.committed(cx, tag);
+                    self.on_committed(cx, tag);
                 }
                 for job in std::mem::take(&mut self.parked) {
                     self.enqueue(job);
                 }
-                if released { After::StepDown } else { After::Stay }
+                if released { RoleChange::StepDown } else { RoleChange::Keep }
             }
         }
     }
 
-    fn committed(&mut self, cx: &mut Context, tag: Tag) {
+    fn on_committed(&mut self, cx: &mut Context, tag: Tag) {
         match tag {
-            Tag::Accept(job) => self.accepted(cx, job),
-            Tag::Start(job, attempt) => self.start_recorded(cx, job, attempt),
-            Tag::Finish(job) => self.finish_recorded(cx, job),
-            Tag::Config(key) => self.config_recorded(cx, &key),
-            Tag::Tidy | Tag::Release => {}
+            Tag::Accept(job) => self.on_accepted(cx, job),
+            Tag::Start(job, attempt) => self.on_start_recorded(cx, job, attempt),
+            Tag::Finish(job) => self.on_finish_recorded(cx, job),
+            Tag::Config(key) => self.on_config_recorded(cx, &key),
+            Tag::Cleanup | Tag::Release => {}
         }
     }
 
     pub fn tick(&mut self, cx: &mut Context) {
         let now = cx.now;
-        self.load_tick(cx);
-        if now >= self.next_beat {
-            self.next_beat = now + cx.settings.heartbeat_interval;
-            self.beat(cx);
+        self.tick_load(cx);
+        if now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now + cx.settings.heartbeat_interval;
+            self.send_heartbeats(cx);
         }
         self.check_agents(cx);
-        if !self.active() {
+        if !self.is_active() {
             return;
         }
         self.check_attempts(cx);
-        self.check_unheard(cx);
+        self.check_unreachable_members(cx);
         self.check_deadlines(cx);
-        if now >= self.next_sweep {
-            self.next_sweep = now + SWEEP;
-            self.sweep(cx);
+        if now >= self.next_cleanup_at {
+            self.next_cleanup_at = now + CLEANUP_INTERVAL;
+            self.remove_expired(cx);
             self.dirty = true;
         }
-        if self.store_down(cx) {
-            self.give_up_unrecorded(cx);
+        if self.is_store_down(cx) {
+            self.abandon_unrecorded(cx);
         }
     }
 
-    /// Decides and writes, once for all inputs since the last time.
+    /// Runs the scheduler and sends pending writes, once for all inputs since the last
+    /// call.
     pub fn flush(&mut self, cx: &mut Context) {
-        if self.active() {
+        if self.is_active() {
             for (waiter, ask) in std::mem::take(&mut self.backlog) {
-                self.ask(cx, waiter, ask);
+                self.on_call(cx, waiter, ask);
             }
             if std::mem::take(&mut self.dirty) {
-                self.decide(cx);
+                self.schedule(cx);
             }
         }
-        if self.active() {
-            self.ledger.pump(cx, !self.denials.is_empty());
+        if self.is_active() {
+            self.ledger.send_due(cx, !self.denials.is_empty());
         }
     }
 
-    /// Takes a call, or keeps it until this owner may speak.
-    pub fn ask(&mut self, cx: &mut Context, waiter: Waiter, ask: Ask) {
-        if !self.active() {
-            if self.backlog.len() >= BACKLOG {
+    /// Handles a call, or queues it until all rows have been read.
+    pub fn on_call(&mut self, cx: &mut Context, waiter: Waiter, ask: Ask) {
+        if !self.is_active() {
+            if self.backlog.len() >= MAX_BACKLOG_CALLS {
                 cx.unavailable(&waiter, "the shard's owner is not ready");
             } else {
                 self.backlog.push((waiter, ask));
             }
             return;
         }
-        self.serve(cx, waiter, ask);
+        self.handle_call(cx, waiter, ask);
     }
 
-    /// Gives ownership up once what is queued is written.
+    /// Gives up ownership in the transaction that follows all queued writes.
     pub fn release(&mut self) {
         self.ledger.put(Write { tag: Tag::Release, key: String::new(), value: None });
     }
 
-    /// Parts from all peers, which then look for the present owner.
-    pub fn leave(&mut self, cx: &mut Context) {
+    /// Closes all connections; the peers then look for the present owner.
+    pub fn disconnect_peers(&mut self, cx: &mut Context) {
         for link in self.peers.keys() {
             cx.close(*link, "no longer the owner");
         }
@@ -289,55 +294,56 @@
             }
         }
         for call in cx.calls.values_mut() {
-            // This owner may have started it: the next one must know.
-            call.sent = Some(LinkId::MAX);
+            // This owner may have started the job, so the call must reach the next owner as a
+            // resent one.
+            call.forwarded_on = Some(LinkId::MAX);
         }
     }
 
-    fn beat(&mut self, cx: &mut Context) {
-        let silence = cx.settings.connection_timeout;
+    fn send_heartbeats(&mut self, cx: &mut Context) {
+        let timeout = cx.settings.connection_timeout;
         let frame = Frame::Beat { epoch: self.row.epoch, configuration: cx.config.version() };
-        let mut silent = Vec::new();
+        let mut unresponsive = Vec::new();
         for (link, peer) in &self.peers {
-            if let Peer::Entry { heard, .. } = peer
-                && cx.now.saturating_sub(*heard) > silence
+            if let Peer::Entry { last_seen, .. } = peer
+                && cx.now.saturating_sub(*last_seen) > timeout
             {
-                silent.push(*link);
+                unresponsive.push(*link);
                 continue;
             }
-            cx.out.push(crate::output::Output::Send { link: *link, frame: frame.clone() });
+            cx.outputs.push(crate::output::Output::Send { link: *link, frame: frame.clone() });
         }
-        for link in silent {
+        for link in unresponsive {
             cx.close(link, "entry silent");
-            self.unlinked(cx, link);
+            self.on_disconnected(cx, link);
         }
     }
 
-    fn note_heard(&mut self, cx: &mut Context, link: LinkId, frame: &Frame) {
+    fn record_contact(&mut self, cx: &mut Context, link: LinkId, frame: &Frame) {
         let now = cx.now;
-        let lag = match self.peers.get_mut(&link) {
-            Some(Peer::Entry { heard, lag, .. }) => {
-                *heard = now;
-                lag
+        let config_tracker = match self.peers.get_mut(&link) {
+            Some(Peer::Entry { last_seen, config_tracker, .. }) => {
+                *last_seen = now;
+                config_tracker
             }
             Some(Peer::Agent { worker }) => {
                 let Some(agent) = self.agents.get_mut(worker) else { return };
-                agent.heard = now;
-                &mut agent.lag
+                agent.last_seen = now;
+                &mut agent.config_tracker
             }
             None => return,
         };
         let Frame::Beat { configuration, .. } = frame else { return };
-        lag.beat(*configuration, cx.config.version());
-        if lag.lost() && self.active() {
-            self.configure(cx, link);
+        config_tracker.on_heartbeat(*configuration, cx.config.version());
+        if config_tracker.take_missed_update() && self.is_active() {
+            self.send_configuration(cx, link);
         }
         if let Some(worker) = self.worker_of(link) {
             self.refresh_condition(cx, &worker);
         }
     }
 
-    /// Lets the pool know whether the worker takes work.
+    /// Updates the worker's condition in the pool.
     pub(crate) fn refresh_condition(&mut self, cx: &Context, worker: &str) {
         let Some(agent) = self.agents.get(worker) else { return };
         let drained = cx.config.is_drained(worker);
@@ -355,32 +361,33 @@
         let names: Vec<String> = self.agents.keys().cloned().collect();
         for worker in names {
             let agent = self.agents.get_mut(&worker).expect("listed above");
-            let quiet = now.saturating_sub(agent.heard);
-            if quiet >= cx.settings.worker_lost_after {
+            let silent_for = now.saturating_sub(agent.last_seen);
+            if silent_for >= cx.settings.worker_lost_after {
                 lost.push(worker);
                 continue;
             }
-            if quiet > cx.settings.connection_timeout
+            if silent_for > cx.settings.connection_timeout
                 && let Some(link) = agent.link.take()
             {
-                // A cut in one direction shows only as silence; closing makes
-                // the agent connect anew and tell all it holds.
+                // A connection cut in one direction shows only as silence. Closing it makes the
+                // agent connect again and send its whole inventory.
                 self.peers.remove(&link);
                 cx.close(link, "agent silent");
             }
             let agent = self.agents.get_mut(&worker).expect("listed above");
-            if agent.quarantined.is_some_and(|since| now.saturating_sub(since) >= PROBATION) {
-                agent.quarantined = None;
+            if agent.quarantined_at.is_some_and(|at| now.saturating_sub(at) >= QUARANTINE_DURATION)
+            {
+                agent.quarantined_at = None;
                 self.pool.record_outcome(0, &worker, true);
             }
             self.refresh_condition(cx, &worker);
         }
         for worker in lost {
-            self.lose(cx, &worker);
+            self.remove_lost_worker(cx, &worker);
         }
     }
 
-    fn leaving(&mut self, cx: &mut Context, link: LinkId, leaving: bool) {
+    fn on_leaving(&mut self, cx: &mut Context, link: LinkId, leaving: bool) {
         let Some(worker) = self.worker_of(link) else { return };
         if let Some(agent) = self.agents.get_mut(&worker) {
             agent.member.leaving = leaving;
@@ -399,8 +406,9 @@
         self.agents.get(worker)?.link
     }
 
-    /// Sends configuration rows and the version that they bring a peer to.
-    pub(crate) fn configure(&self, cx: &mut Context, link: LinkId) {
+    /// Sends a peer the configuration rows that concern it and the version that they
+    /// bring it to.
+    pub(crate) fn send_configuration(&self, cx: &mut Context, link: LinkId) {
         let rows = match self.peers.get(&link) {
             Some(Peer::Agent { worker }) => cx.config.drain_row(worker).into_iter().collect(),
             _ => cx.config.rows(),
@@ -409,13 +417,13 @@
         cx.send(link, Frame::Configure { epoch: self.row.epoch, after: 0, version, rows });
     }
 
-    pub(crate) fn quarantine(&mut self, cx: &Context, worker: &str) {
+    pub(crate) fn record_quarantine(&mut self, cx: &Context, worker: &str) {
         let now = cx.now;
         let condition = self.pool.workers().find(|w| w.worker == worker).map(|w| w.condition);
         if condition == Some(Condition::Quarantined)
             && let Some(agent) = self.agents.get_mut(worker)
         {
-            agent.quarantined = Some(now);
+            agent.quarantined_at = Some(now);
         }
     }
 }
--- a/crates/shard/src/record.rs
+++ b/crates/shard/src/record.rs
@@ -6,112 +6,112 @@
 
 use crate::context::Waiter;
 
-/// What the owner knows of one job.
+/// The owner's state of one job.
 pub(crate) struct Record {
     pub id: JobId,
     pub job: Job,
-    pub arrived: Duration,
-    /// When nobody wants the outcome any more; a waiting job is given up then.
-    pub until: Duration,
+    pub arrived_at: Duration,
+    /// When the job's last caller stops waiting; a queued job is given up then.
+    pub expires_at: Duration,
     pub phase: Phase,
-    /// Attempts that may have started.
+    /// Number of attempts that may have started.
     pub attempts: u32,
-    /// Workers that an attempt failed on.
-    pub avoid: Vec<String>,
-    /// What the table holds, or will once the ledger's queue is written.
-    pub stored: Option<Stored>,
-    pub waiters: Vec<Waiting>,
-    /// The last attempt's members, to be told to forget it.
-    pub last: Option<(Attempt, Vec<String>)>,
+    /// Workers on which an attempt failed.
+    pub avoided_workers: Vec<String>,
+    /// State of the job's row, including writes still queued in the ledger.
+    pub row_state: Option<RowState>,
+    pub waiters: Vec<JobWaiter>,
+    /// The last attempt and its members, which receive a Forget frame.
+    pub last_attempt: Option<(Attempt, Vec<String>)>,
 }
 
 /// A caller that waits for the outcome.
-pub(crate) struct Waiting {
+pub(crate) struct JobWaiter {
     pub waiter: Waiter,
-    pub until: Duration,
+    pub expires_at: Duration,
 }
 
-/// State of the job's row.
+/// State of a job's row.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Stored {
+pub(crate) enum RowState {
     Queued,
     Started,
     Final,
 }
 
-/// Where a job stands.
+/// Phase of a job.
 pub(crate) enum Phase {
     /// Its row is being written; its caller does not wait for the outcome.
     Accepting,
-    /// It waits for accelerators.
+    /// Waits for accelerators.
     Queued,
-    /// An attempt is on its way or running.
-    Tried(Try),
-    /// The outcome is known. It is `told` before it is `recorded` only if no
-    /// later owner could act against it.
-    Final { outcome: Outcome, at: Duration, recorded: bool, told: bool },
+    /// An attempt is being prepared, started, run or stopped.
+    Attempted(AttemptState),
+    /// The outcome is known. It is `reportable` before it is `recorded` only if no
+    /// later owner could contradict it.
+    Final { outcome: Outcome, ended_at: Duration, recorded: bool, reportable: bool },
 }
 
-/// One attempt, as the owner sees it.
-pub(crate) struct Try {
+/// The owner's state of one attempt.
+pub(crate) struct AttemptState {
     pub attempt: Attempt,
     pub step: Step,
-    pub since: Duration,
-    /// Members by rank of their lowest task.
-    pub order: Vec<String>,
-    pub parts: BTreeMap<String, Part>,
-    pub stopping: Option<Why>,
-    /// When the request to stop is repeated.
-    pub repeat: Duration,
+    pub updated_at: Duration,
+    /// Members, ordered by the rank of their lowest task.
+    pub workers_by_rank: Vec<String>,
+    pub members: BTreeMap<String, MemberState>,
+    pub stop_reason: Option<StopReason>,
+    /// When the request to stop is sent again.
+    pub stop_retry_at: Duration,
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Step {
-    /// Members are granting.
+    /// Members are asked to grant their accelerators.
     Preparing,
-    /// The start is being recorded. It may be recorded already.
+    /// The start is being recorded, and may be already.
     Committing,
-    /// Members were told to go, or may have been.
+    /// Go was sent to the members, or may have been.
     Started,
 }
 
 /// Why an attempt is being stopped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Why {
+pub(crate) enum StopReason {
     /// Its caller cancelled it.
     Cancelled,
-    /// A guarantee needs its accelerators.
+    /// Preempted: a guarantee needs its accelerators.
     Reclaimed,
     /// The start could not be recorded.
     Unrecorded,
     /// The deadline passed before it started.
-    Late,
-    /// The gang is not whole.
-    Broken,
+    Expired,
+    /// A member of the gang is missing or failed.
+    Incomplete,
 }
 
-/// What the owner knows of one member's part.
+/// State of one member's part of an attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum Part {
-    /// Asked to grant, or not heard since a takeover.
+pub(crate) enum MemberState {
+    /// Asked to grant, or not connected since a takeover.
     Unknown,
-    /// Granted.
+    /// Granted its accelerators.
     Prepared,
-    /// Running.
+    /// Received Go, or runs.
     Running,
-    /// Ended.
+    /// Ended with this report.
     Ended(Report),
 }
 
 impl Record {
-    /// The outcome or state to tell a caller now.
+    /// Returns the outcome or state that callers receive at present.
     pub fn outcome(&self) -> Outcome {
         match &self.phase {
             Phase::Accepting | Phase::Queued => Outcome::Queued,
-            Phase::Tried(Try { step: Step::Started, .. }) => Outcome::Started,
-            Phase::Tried(_) => Outcome::Queued,
-            Phase::Final { recorded: false, told: false, .. } => Outcome::Queued,
+            Phase::Attempted(AttemptState { step: Step::Started, .. }) => Outcome::Started,
+            Phase::Attempted(_) => Outcome::Queued,
+            Phase::Final { recorded: false, reportable: false, .. } => Outcome::Queued,
             Phase::Final { outcome, .. } => outcome.clone(),
         }
     }
@@ -124,67 +124,83 @@
         (self.job.team.clone(), self.job.request.clone())
     }
 
-    /// True if any attempt may have started, under this owner or an earlier.
+    /// Returns true if any attempt may have started, under this owner or an earlier
+    /// one.
     pub fn may_have_run(&self) -> bool {
         self.attempts > 0 || self.job.again
     }
 
-    /// The outcome of a cancellation when no attempt is on its way.
-    pub fn cancelled(&self) -> Outcome {
+    /// Returns the outcome of a cancellation while there is no attempt.
+    pub fn cancelled_outcome(&self) -> Outcome {
         if self.may_have_run() { Outcome::CancelledStopped } else { Outcome::CancelledNotRun }
     }
 
-    pub fn attempt(&self) -> Option<&Try> {
+    pub fn attempt(&self) -> Option<&AttemptState> {
         match &self.phase {
-            Phase::Tried(attempt) => Some(attempt),
+            Phase::Attempted(attempt) => Some(attempt),
             _ => None,
         }
     }
 
-    pub fn attempt_mut(&mut self) -> Option<&mut Try> {
+    pub fn attempt_mut(&mut self) -> Option<&mut AttemptState> {
         match &mut self.phase {
-            Phase::Tried(attempt) => Some(attempt),
+            Phase::Attempted(attempt) => Some(attempt),
             _ => None,
         }
     }
 }
 
-impl Try {
-    pub fn new(attempt: Attempt, step: Step, now: Duration, order: Vec<String>) -> Try {
-        let parts = order.iter().map(|worker| (worker.clone(), Part::Unknown)).collect();
-        Try { attempt, step, since: now, order, parts, stopping: None, repeat: Duration::MAX }
+impl AttemptState {
+    pub fn new(
+        attempt: Attempt,
+        step: Step,
+        now: Duration,
+        workers_by_rank: Vec<String>,
+    ) -> AttemptState {
+        let members =
+            workers_by_rank.iter().map(|worker| (worker.clone(), MemberState::Unknown)).collect();
+        AttemptState {
+            attempt,
+            step,
+            updated_at: now,
+            workers_by_rank,
+            members,
+            stop_reason: None,
+            stop_retry_at: Duration::MAX,
+        }
     }
 
-    /// An attempt that an agent reported and nobody here made.
-    pub fn adopted(task: &Task, now: Duration) -> Try {
-        let order = task.members.iter().map(|(worker, _)| worker.clone()).collect();
-        Try::new(task.attempt, Step::Started, now, order)
+    /// Creates the state of an attempt that an earlier owner started and an agent
+    /// reported.
+    pub fn adopted(task: &Task, now: Duration) -> AttemptState {
+        let workers_by_rank = task.members.iter().map(|(worker, _)| worker.clone()).collect();
+        AttemptState::new(task.attempt, Step::Started, now, workers_by_rank)
     }
 
-    pub fn all(&self, wanted: impl Fn(&Part) -> bool) -> bool {
-        self.parts.values().all(wanted)
+    pub fn all(&self, predicate: impl Fn(&MemberState) -> bool) -> bool {
+        self.members.values().all(predicate)
     }
 
-    pub fn any(&self, wanted: impl Fn(&Part) -> bool) -> bool {
-        self.parts.values().any(wanted)
+    pub fn any(&self, predicate: impl Fn(&MemberState) -> bool) -> bool {
+        self.members.values().any(predicate)
     }
 
-    pub fn ended(&self) -> bool {
-        self.all(|part| matches!(part, Part::Ended(_)))
+    pub fn has_ended(&self) -> bool {
+        self.all(|state| matches!(state, MemberState::Ended(_)))
     }
 
-    /// Reports by rank, once all have ended.
+    /// Returns the members' reports by rank, once all have ended.
     pub fn reports(&self) -> Vec<&Report> {
-        let report = |worker| match self.parts.get(worker) {
-            Some(Part::Ended(report)) => Some(report),
+        let report = |worker| match self.members.get(worker) {
+            Some(MemberState::Ended(report)) => Some(report),
             _ => None,
         };
-        self.order.iter().filter_map(report).collect()
+        self.workers_by_rank.iter().filter_map(report).collect()
     }
 }
 
-impl Part {
-    pub fn live(&self) -> bool {
-        !matches!(self, Part::Ended(_))
+impl MemberState {
+    pub fn is_live(&self) -> bool {
+        !matches!(self, MemberState::Ended(_))
     }
 }
--- a/crates/shard/src/rows.rs
+++ b/crates/shard/src/rows.rs
@@ -1,4 +1,4 @@
-//! Between stored rows (generated types) and the product's own types.
+//! Conversion between stored rows (generated types) and the crates' own types.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use quincewheel_wire::{Job, Outcome};
 
 /// Key of the ownership row.
-pub(crate) const OWNER: &str = "owner";
+pub(crate) const OWNER_KEY: &str = "owner";
 
-/// Start of the keys of all job rows.
-pub(crate) const JOBS: &str = "job/";
+/// Key prefix of all job rows.
+pub(crate) const JOB_KEY_PREFIX: &str = "job/";
 
-/// Key of a job's row.
+/// Returns the key of a job's row.
 pub(crate) fn job_key(team: &str, request: &str) -> String {
-    format!("{JOBS}{team}/{request}")
+    format!("{JOB_KEY_PREFIX}{team}/{request}")
 }
 
-/// A shape as the schema has it.
+/// Converts a shape to the schema's type.
 pub fn shape_to_row(shape: &Shape) -> v1::Shape {
     let adjacency = match shape.adjacency {
         Adjacency::Any => v1::Adjacency::Any,
@@ -28,7 +28,8 @@
     v1::Shape { tasks: shape.tasks, accelerators: shape.accelerators, adjacency: adjacency.into() }
 }
 
-/// A shape of the schema; an unknown adjacency counts as any.
+/// Converts a shape from the schema's type. An unknown adjacency becomes
+/// [`Adjacency::Any`].
 pub fn shape_from_row(row: &v1::Shape) -> Shape {
     let adjacency = match row.adjacency() {
         v1::Adjacency::Any => Adjacency::Any,
@@ -52,7 +53,7 @@
     rows.iter().filter_map(share).collect()
 }
 
-/// A job's row in the given state.
+/// Converts a job with its state or outcome to a row.
 pub(crate) fn job_to_row(job: &Job, outcome: &Outcome, attempts: u32) -> v1::JobRow {
     let mut row = v1::JobRow {
         team: job.team.clone(),
@@ -65,7 +66,7 @@
         attempts,
         ..v1::JobRow::default()
     };
-    // A final row does not need the payload again; a waiting one does.
+    // A final row does not need the payload; one of a queued or started job does.
     if !outcome.terminal() {
         row.payload = job.payload.clone();
     }
@@ -97,7 +98,7 @@
     row
 }
 
-/// The job and its state as a row holds them.
+/// Converts a row to the job and its state or outcome.
 pub(crate) fn job_from_row(row: &v1::JobRow) -> (Job, Outcome) {
     let job = Job {
         team: row.team.clone(),
--- a/crates/shard/src/settings.rs
+++ b/crates/shard/src/settings.rs
@@ -2,49 +2,49 @@
 
 use quincewheel_pool::Limits;
 
-/// What a node is told when it starts. Times are chosen together: urgent work
-/// must start within 4 s even if the owner is lost at the worst moment, so
-/// silence + takeover + a retry of the agents stays below 3 s.
+/// Settings of a node. The timeouts depend on each other: urgent work must start
+/// within 4 s even if the owner fails at the worst moment, so connection timeout,
+/// takeover and one retry of the agents must add up to less than 3 s.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The instance's name.
     pub name: String,
-    /// Drawn at random when the process started.
+    /// Random number that identifies this run of the process.
     pub incarnation: u64,
-    /// Where other processes reach this one.
+    /// Address at which other processes reach this one.
     pub address: String,
     /// SHA-256 of the operators' key, in hexadecimal.
     pub operator_key_digest: String,
-    /// Unix time at the runtime clock's zero.
+    /// Unix time at which the runtime clock reads zero.
     pub clock_origin: Duration,
     /// Seed of the jitter in retry-after.
     pub seed: u64,
-    /// Time between beats.
+    /// Interval between heartbeats.
     pub heartbeat_interval: Duration,
-    /// A peer not heard for this long is suspect and its link is closed.
+    /// A peer that sends nothing for this long is suspect and its connection is closed.
     pub connection_timeout: Duration,
-    /// An ownership row that stays the same for this long may be taken over,
-    /// if its holder is also silent.
+    /// An ownership row that is unchanged for this long may be taken over by a node
+    /// that is not connected to its holder.
     pub takeover_timeout: Duration,
     /// The owner renews its row at least this often.
     pub renewal_interval: Duration,
-    /// A worker not heard for this long has lost what it held.
+    /// Tasks of a worker whose agent sends nothing for this long count as lost.
     pub worker_lost_after: Duration,
-    /// A call that finds no owner for this long is refused.
+    /// A call for which no owner is found within this time is refused.
     pub failover_timeout: Duration,
-    /// Members that have not granted by then are given up.
+    /// An attempt whose members have not all granted within this time is stopped.
     pub prepare_timeout: Duration,
-    /// A commit unanswered for this long means that the table is down.
+    /// The table counts as down once a commit is unresolved for this long.
     pub store_down_after: Duration,
-    /// Time that a task gets to checkpoint before it is stopped.
+    /// Time that a task gets to write a checkpoint before it is stopped.
     pub stop_grace: Duration,
-    /// Starts of one idempotent job before its failure is final.
+    /// Number of attempts of an idempotent job before its failure is final.
     pub max_attempts: u32,
     /// Most rows in one transaction.
     pub max_batch_rows: usize,
-    /// How long a recorded outcome is kept.
+    /// How long a recorded outcome is retained.
     pub retention: Duration,
-    /// Bounds of the pool.
+    /// Limits of the pool.
     pub limits: Limits,
 }
 
--- a/crates/shard/src/views.rs
+++ b/crates/shard/src/views.rs
@@ -7,7 +7,7 @@
 use quincewheel_schema::v1::{DrainRow, GuaranteeRow, TeamRow};
 use quincewheel_wire::{Answer, Ask, Frame, LinkId, Process, Refusal, Team, Worker};
 
-use crate::config::{Item, PREFIX};
+use crate::config::{CONFIG_KEY_PREFIX, Item};
 use crate::context::{Context, Waiter};
 use crate::ledger::{Tag, Write};
 use crate::member::Peer;
@@ -15,18 +15,18 @@
 use crate::rows;
 
 impl Owner {
-    /// Checks a change and writes it. It is in force, and told so, once it is
-    /// recorded.
+    /// Checks a change and queues its write. It takes effect, and is answered, once it
+    /// is recorded.
     pub(crate) fn change(&mut self, cx: &mut Context, waiter: Waiter, ask: Ask) {
-        if self.store_down(cx) {
+        if self.is_store_down(cx) {
             cx.unavailable(&waiter, "the table service does not answer; nothing was changed");
             return;
         }
         if let Some(staged) = change_key(&ask).and_then(|key| self.staged.get_mut(&key)) {
-            staged.losers.push(waiter);
+            staged.conflicting.push(waiter);
             return;
         }
-        let pending = self.staged.values().map(|staged| staged.item.configuration());
+        let pending = self.staged.values().map(|staged| staged.item.configuration_version());
         let configuration = pending.max().unwrap_or(0).max(cx.config.version()) + 1;
         match self.check_change(cx, ask, configuration) {
             Err(refusal) => cx.refuse(&waiter, refusal),
@@ -34,8 +34,8 @@
                 let (key, value) = (item.key(), item.value());
                 let tag = Tag::Config(key.clone());
                 self.ledger.put(Write { tag, key: key.clone(), value: Some(value) });
-                let (losers, since) = (Vec::new(), cx.now);
-                self.staged.insert(key, Staged { item, waiter, losers, since });
+                let (conflicting, staged_at) = (Vec::new(), cx.now);
+                self.staged.insert(key, Staged { item, waiter, conflicting, staged_at });
             }
         }
     }
@@ -43,7 +43,8 @@
     fn check_change(&self, cx: &Context, ask: Ask, configuration: u64) -> Result<Item, Refusal> {
         match ask {
             Ask::PutTeam { team, expected, key_digest, quota } => {
-                let version = self.next_version(cx, &format!("{PREFIX}team/{team}"), expected)?;
+                let version =
+                    self.next_version(cx, &format!("{CONFIG_KEY_PREFIX}team/{team}"), expected)?;
                 Ok(Item::Team(TeamRow { team, version, key_digest, quota, configuration }))
             }
             Ask::PutGuarantee { team, expected, shares } => {
@@ -51,14 +52,14 @@
                     let message = format!("there is no team {team:?}; create it with PutTeam");
                     return Err(Refusal::NotFound { field: "team".to_owned(), message });
                 }
-                let key = format!("{PREFIX}guarantee/{team}");
+                let key = format!("{CONFIG_KEY_PREFIX}guarantee/{team}");
                 let version = self.next_version(cx, &key, expected)?;
                 self.check_fit(&team, &shares)?;
                 let shares = rows::shares_to_row(&shares);
                 Ok(Item::Guarantee(GuaranteeRow { team, version, shares, configuration }))
             }
             Ask::PutDrain { worker, expected, drained } => {
-                let key = format!("{PREFIX}drain/{worker}");
+                let key = format!("{CONFIG_KEY_PREFIX}drain/{worker}");
                 let version = self.next_version(cx, &key, expected)?;
                 Ok(Item::Drain(DrainRow { worker, version, drained, configuration }))
             }
@@ -66,9 +67,10 @@
         }
     }
 
-    /// The version that the change would give the item.
+    /// Returns the row's version after the change, or a conflict if `expected` is not
+    /// the present one.
     fn next_version(&self, cx: &Context, key: &str, expected: u64) -> Result<u64, Refusal> {
-        let current = cx.config.current(key);
+        let current = cx.config.current_version(key);
         if expected != current {
             return Err(conflict(current));
         }
@@ -77,30 +79,30 @@
 
     fn check_fit(&self, team: &str, shares: &[Share]) -> Result<(), Refusal> {
         if self.staged.values().any(|staged| matches!(staged.item, Item::Guarantee(_))) {
-            // Two that fit one by one need not fit together.
+            // Two guarantees that each fit alone may not fit together.
             return Err(Refusal::Unavailable {
                 message: "another guarantee is being recorded".to_owned(),
                 retry_after: Duration::from_millis(200),
             });
         }
-        let Some(misfit) = self.pool.unsatisfiable_share(team, shares) else { return Ok(()) };
+        let Some(unfit) = self.pool.unsatisfiable_share(team, shares) else { return Ok(()) };
         Err(Refusal::Unfit {
             message: format!(
                 "the guaranteed shapes do not all fit with the failure reserve: of {} only {} fit \
                  beside the other teams' guarantees and the shares listed before",
-                describe(&misfit.shape),
-                misfit.count
+                describe(&unfit.shape),
+                unfit.count
             ),
         })
     }
 
-    /// A change is recorded: it is in force from now on, first here.
-    pub(crate) fn config_recorded(&mut self, cx: &mut Context, key: &str) {
+    /// Puts a recorded change in force, first here and then at the peers.
+    pub(crate) fn on_config_recorded(&mut self, cx: &mut Context, key: &str) {
         let Some(staged) = self.staged.remove(key) else { return };
-        let version = staged.item.configuration();
+        let version = staged.item.configuration_version();
         let after = cx.config.version();
         cx.config.apply(&staged.item);
-        cx.config.reach(version);
+        cx.config.advance_to(version);
         cx.event(Kind::Recorded { version });
         cx.event(Kind::Applied { version });
         match &staged.item {
@@ -115,41 +117,42 @@
         let value = staged.item.value();
         let links: Vec<LinkId> = self.peers.keys().copied().collect();
         for link in links {
-            let concerned = match (&self.peers[&link], &staged.item) {
+            let is_concerned = match (&self.peers[&link], &staged.item) {
                 (Peer::Entry { .. }, _) => true,
                 (Peer::Agent { worker }, Item::Drain(row)) => row.worker == *worker,
                 (Peer::Agent { .. }, _) => false,
             };
-            let rows = if concerned { vec![(key.to_owned(), value.clone())] } else { Vec::new() };
+            let rows =
+                if is_concerned { vec![(key.to_owned(), value.clone())] } else { Vec::new() };
             cx.send(link, Frame::Configure { epoch, after, version, rows });
         }
         let answer = Answer::Changed { version: staged.item.version(), configuration: version };
         cx.answer(&staged.waiter, answer);
-        for loser in &staged.losers {
-            cx.refuse(loser, conflict(staged.item.version()));
+        for waiter in &staged.conflicting {
+            cx.refuse(waiter, conflict(staged.item.version()));
         }
     }
 
-    /// While the table is down: changes that are not in flight are taken back,
-    /// callers of the others learn that it is unclear.
-    pub(crate) fn give_up_changes(&mut self, cx: &mut Context) {
+    /// While the table is down: withdraws changes that are not in flight and answers
+    /// the callers of the others that the result is unknown.
+    pub(crate) fn abandon_changes(&mut self, cx: &mut Context) {
         let keys: Vec<String> = self.staged.keys().cloned().collect();
         for key in keys {
             if self.ledger.withdraw(&Tag::Config(key.clone())) {
                 let Some(staged) = self.staged.remove(&key) else { continue };
                 let text = "the table service does not answer; nothing was changed";
-                for waiter in staged.losers.iter().chain([&staged.waiter]) {
+                for waiter in staged.conflicting.iter().chain([&staged.waiter]) {
                     cx.unavailable(waiter, text);
                 }
                 continue;
             }
             let staged = self.staged.get_mut(&key).expect("listed above");
-            if cx.now.saturating_sub(staged.since) >= cx.settings.store_down_after {
+            if cx.now.saturating_sub(staged.staged_at) >= cx.settings.store_down_after {
                 let text = "the table service did not answer whether the change is recorded; \
                             read the version before trying again";
                 cx.unavailable(&staged.waiter, text);
-                for loser in std::mem::take(&mut staged.losers) {
-                    cx.unavailable(&loser, text);
+                for waiter in std::mem::take(&mut staged.conflicting) {
+                    cx.unavailable(&waiter, text);
                 }
             }
         }
@@ -178,7 +181,7 @@
         Answer::Pool {
             epoch: self.row.epoch,
             owner: self.row.holder.clone(),
-            store: !self.store_down(cx),
+            store: !self.is_store_down(cx),
             workers: workers.collect(),
             teams: teams.collect(),
         }
@@ -190,12 +193,17 @@
             vec![Process { name: cx.settings.name.clone(), configuration: own, entry: true }];
         for peer in self.peers.values() {
             processes.push(match peer {
-                Peer::Entry { name, lag, .. } => {
-                    Process { name: name.clone(), configuration: lag.version, entry: true }
-                }
+                Peer::Entry { name, config_tracker, .. } => Process {
+                    name: name.clone(),
+                    configuration: config_tracker.version,
+                    entry: true,
+                },
                 Peer::Agent { worker } => Process {
                     name: worker.clone(),
-                    configuration: self.agents.get(worker).map_or(0, |agent| agent.lag.version),
+                    configuration: self
+                        .agents
+                        .get(worker)
+                        .map_or(0, |agent| agent.config_tracker.version),
                     entry: false,
                 },
             });
@@ -205,12 +213,12 @@
     }
 }
 
-/// The row that a change is about.
+/// Returns the key of the row that a call changes.
 fn change_key(ask: &Ask) -> Option<String> {
     match ask {
-        Ask::PutTeam { team, .. } => Some(format!("{PREFIX}team/{team}")),
-        Ask::PutGuarantee { team, .. } => Some(format!("{PREFIX}guarantee/{team}")),
-        Ask::PutDrain { worker, .. } => Some(format!("{PREFIX}drain/{worker}")),
+        Ask::PutTeam { team, .. } => Some(format!("{CONFIG_KEY_PREFIX}team/{team}")),
+        Ask::PutGuarantee { team, .. } => Some(format!("{CONFIG_KEY_PREFIX}guarantee/{team}")),
+        Ask::PutDrain { worker, .. } => Some(format!("{CONFIG_KEY_PREFIX}drain/{worker}")),
         _ => None,
     }
 }
