--- a/crates/shard/src/denials.rs
+++ b/crates/shard/src/denials.rs
@@ -7,9 +7,9 @@
 //! decided has succeeded, which only the owner's does. It depends on no clock.
 //!
 //! While the table is down nothing can be confirmed. A caller that declares its
-//! first attempt is then answered at once that its job did not run, since no other
-//! node has received it. Other callers are answered at once that the call was not
-//! accepted, which implies nothing about their earlier attempts.
+//! first submission is then answered at once that its job did not run, since no
+//! other node has received it. Other callers are answered at once that the call was
+//! not accepted, which implies nothing about their earlier submissions.
 
 use std::time::Duration;
 
@@ -29,8 +29,8 @@
 /// What a denial is based on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Basis {
-    /// The caller declares that it made no other attempt.
-    FirstAttempt,
+    /// The caller declares that it submits the request for the first time.
+    FirstSubmission,
     /// Any run would have left a row.
     Record,
     /// An earlier owner may have run it without a row.
@@ -41,7 +41,7 @@
     /// Returns the basis of denials about this job.
     pub fn of(job: &Job) -> Basis {
         match (job.first && !job.again, job.recorded()) {
-            (true, _) => Basis::FirstAttempt,
+            (true, _) => Basis::FirstSubmission,
             (false, true) => Basis::Record,
             (false, false) => Basis::None,
         }
@@ -60,7 +60,7 @@
         answer: Answer,
         basis: Basis,
     ) {
-        if basis == Basis::FirstAttempt || !is_denial(&answer) {
+        if basis == Basis::FirstSubmission || !is_denial(&answer) {
             cx.answer(waiter, answer);
         } else if basis == Basis::None {
             let text = "it does not run now; whether an earlier try ran is not known, since \
--- a/crates/shard/src/follower.rs
+++ b/crates/shard/src/follower.rs
@@ -24,7 +24,8 @@
     dialled_at: Option<Duration>,
     next_dial_at: Duration,
     pending: Option<Pending>,
-    next_read_at: Duration,
+    /// When the next read of the row, or the next heartbeat to the owner, is due.
+    next_send_at: Duration,
     store_failing: bool,
     /// The row that this node wrote to take over; it identifies a commit whose reply
     /// was lost.
@@ -56,7 +57,7 @@
             dialled_at: None,
             next_dial_at: now,
             pending: None,
-            next_read_at: now,
+            next_send_at: now,
             store_failing: false,
             claim: None,
         }
@@ -87,7 +88,7 @@
     pub fn on_disconnected(&mut self, cx: &mut Context, link: LinkId) {
         if self.link == Some(link) {
             self.link = None;
-            self.next_read_at = cx.now;
+            self.next_send_at = cx.now;
             // The row must stay unchanged from now on, not from its last read.
             self.row_is_current = false;
         }
@@ -149,8 +150,8 @@
     }
 
     fn send_heartbeat(&mut self, cx: &mut Context, link: LinkId) {
-        if cx.now >= self.next_read_at {
-            self.next_read_at = cx.now + cx.settings.heartbeat_interval;
+        if cx.now >= self.next_send_at {
+            self.next_send_at = cx.now + cx.settings.heartbeat_interval;
             cx.send(link, Frame::Beat { epoch: self.epoch(), configuration: cx.config.version() });
         }
     }
@@ -166,8 +167,8 @@
             self.claim_ownership(cx);
             return;
         }
-        if cx.now >= self.next_read_at {
-            self.next_read_at = cx.now + READ_INTERVAL;
+        if cx.now >= self.next_send_at {
+            self.next_send_at = cx.now + READ_INTERVAL;
             let read = Read { prefix: OWNER_KEY.to_owned(), after: String::new(), limit: 1 };
             let id = cx.store(Op::Read(read));
             self.pending = Some(Pending::Reading { id, sent_at: cx.now });
@@ -219,7 +220,7 @@
                 self.on_owner_row(cx, parsed, row.map_or(0, |row| row.version))
             }
             Err(Error::Conflict { .. }) => {
-                self.next_read_at = cx.now;
+                self.next_send_at = cx.now;
                 self.row_is_current = false;
                 None
             }
@@ -227,7 +228,7 @@
                 // A claim with an unknown result is resolved by the next read.
                 self.store_failing = true;
                 self.row_is_current = false;
-                self.next_read_at = cx.now + READ_INTERVAL;
+                self.next_send_at = cx.now + READ_INTERVAL;
                 None
             }
         }
--- a/crates/shard/src/owner.rs
+++ b/crates/shard/src/owner.rs
@@ -10,7 +10,7 @@
 use crate::context::{Context, Waiter};
 use crate::denials::Denial;
 use crate::ledger::{CommitResult, Ledger, Tag, Write};
-use crate::member::{Agent, ConfigTracker, Peer, SeenCalls};
+use crate::peer::{Agent, ConfigTracker, Peer, SeenCalls};
 use crate::record::Record;
 use crate::refusals::Refusals;
 use crate::takeover::Load;
--- a/crates/shard/src/reports.rs
+++ b/crates/shard/src/reports.rs
@@ -97,9 +97,9 @@
             self.refusals.record(key, &outcome, cx.now);
             let record = self.jobs.get_mut(&id).expect("looked up above");
             let answer = Answer::Job { outcome, attempts: record.attempts };
-            let proof = Basis::of(&record.job);
+            let basis = Basis::of(&record.job);
             for waiting in std::mem::take(&mut record.waiters) {
-                self.reply(cx, &waiting.waiter, answer.clone(), proof);
+                self.reply(cx, &waiting.waiter, answer.clone(), basis);
             }
         }
     }
@@ -258,9 +258,9 @@
         if !record.outcome().terminal() {
             return;
         }
-        let proof = Basis::of(&record.job);
+        let basis = Basis::of(&record.job);
         for waiting in std::mem::take(&mut record.waiters) {
-            self.reply(cx, &waiting.waiter, answer.clone(), proof);
+            self.reply(cx, &waiting.waiter, answer.clone(), basis);
         }
     }
 
@@ -295,8 +295,8 @@
     /// Returns the attempts of which `worker` has a part that has not ended.
     pub(crate) fn live_attempts(&self, worker: &str) -> Vec<Attempt> {
         let attempts = self.jobs.values().filter_map(|record| record.attempt());
-        let here = attempts.filter(|t| t.members.get(worker).is_some_and(MemberState::is_live));
-        here.map(|t| t.attempt).collect()
+        let live = attempts.filter(|t| t.members.get(worker).is_some_and(MemberState::is_live));
+        live.map(|t| t.attempt).collect()
     }
 
     /// Removes outcomes and refusals whose retention has passed.
--- a/crates/shard/src/takeover.rs
+++ b/crates/shard/src/takeover.rs
@@ -12,8 +12,8 @@
 
 use crate::config::{self, Item};
 use crate::context::Context;
-use crate::member::{Agent, ConfigTracker, Peer};
 use crate::owner::Owner;
+use crate::peer::{Agent, ConfigTracker, Peer};
 use crate::record::{AttemptState, MemberState, Phase, Record, RowState, Step};
 use crate::rows;
 
--- a/crates/shard/src/views.rs
+++ b/crates/shard/src/views.rs
@@ -10,8 +10,8 @@
 use crate::config::{CONFIG_KEY_PREFIX, Item};
 use crate::context::{Context, Waiter};
 use crate::ledger::{Tag, Write};
-use crate::member::Peer;
 use crate::owner::{Owner, Staged};
+use crate::peer::Peer;
 use crate::rows;
 
 impl Owner {
