--- a/crates/dispatch/benches/owner.rs
+++ b/crates/dispatch/benches/owner.rs
@@ -1,9 +1,9 @@
-//! What an owner spends at a size: on a report of one worker, on a look at what is due, and
-//! on a round of decisions.
+//! Time that an owner spends on a worker's status, on a ping, and on a planning round, for several
+//! numbers of workers.
 //!
 //!     cargo bench -p quincewheel-dispatch --bench owner
 //!
-//! Workers have 8 accelerators each; all run eight tasks, and 2,000 tasks wait.
+//! Each worker has 8 accelerators and runs 8 tasks; 2,000 tasks are queued.
 
 #[path = "../tests/bed/mod.rs"]
 mod bed;
@@ -14,28 +14,28 @@
 use quincewheel_job::Run;
 use quincewheel_wire::Notice;
 
-/// Tasks of a batch job, and tasks that each worker runs.
-const WIDE: u64 = 8;
-/// Tasks that wait, in milliseconds' worth of nothing: jobs of 40 tasks of one accelerator.
-const WAITING: u32 = 50;
-/// Times that each kind of work is repeated.
-const TIMES: u32 = 200;
+/// Tasks that each worker runs.
+const TASKS_PER_WORKER: u64 = 8;
+/// Queued jobs, each of 40 tasks that need one accelerator.
+const QUEUED_JOBS: u32 = 50;
+/// Repetitions of each measurement.
+const REPETITIONS: u32 = 200;
 
 fn main() {
     for workers in [30, 100, 300] {
         let mut bed = full(workers);
-        let reports: Vec<Vec<Run>> = (0..workers).map(|number| listed(&bed, number)).collect();
-        let per = |spent: Duration| spent.as_micros() as u64 / u64::from(TIMES);
-        let report = time(|at| {
+        let statuses: Vec<Vec<Run>> = (0..workers).map(|number| listed(&bed, number)).collect();
+        let micros = |spent: Duration| spent.as_micros() as u64 / u64::from(REPETITIONS);
+        let status = time(|at| {
             let number = u64::from(at) % workers;
-            bed.status(number, &reports[number as usize], &[]);
+            bed.status(number, &statuses[number as usize], &[]);
         });
         let ping = time(|at| {
             let notice = Notice::Ping { stamp: bed.now, silent: 0 };
             bed.notice(u64::from(at) % workers, notice);
         });
         let round = time(|at| {
-            // A job that comes makes the owner decide anew.
+            // A new job triggers planning.
             bed.owner.add_job(
                 &format!("n{at}"),
                 job(1, vec![step(1, 8)]),
@@ -45,23 +45,23 @@
             bed.step();
         });
         println!(
-            "{workers} workers: a report {} us, a ping {} us, a round {} us",
-            per(report),
-            per(ping),
-            per(round)
+            "{workers} workers: status {} us, ping {} us, planning round {} us",
+            micros(status),
+            micros(ping),
+            micros(round)
         );
     }
 }
 
-/// An owner whose workers are all full, and jobs that wait.
+/// A test bed whose workers are all full, with queued jobs.
 fn full(workers: u64) -> Bed {
     let mut bed = Bed::open(1, workers).idle(workers);
     for number in 0..workers {
-        let tasks = vec![step(WIDE as u32, 1)];
+        let tasks = vec![step(TASKS_PER_WORKER as u32, 1)];
         bed.owner.add_job(&format!("r{number:04}"), job(2, tasks), 150 + number, None);
     }
     bed.step();
-    for number in 0..WAITING {
+    for number in 0..QUEUED_JOBS {
         let tasks = vec![step(40, 1)];
         bed.owner.add_job(&format!("w{number:04}"), job(2, tasks), 600 + u64::from(number), None);
     }
@@ -69,7 +69,7 @@
     bed
 }
 
-/// What a worker runs, by the orders that its agent got.
+/// The runs of a worker, from the start orders that its agent received.
 fn listed(bed: &Bed, number: u64) -> Vec<Run> {
     let mine = format!("w{number} start ");
     let orders = bed.lines.iter().filter_map(|line| line.strip_prefix(&mine));
@@ -82,8 +82,9 @@
     orders.filter_map(task).collect()
 }
 
+/// The time that all repetitions of the work take.
 fn time(mut work: impl FnMut(u32)) -> Duration {
-    let began = Instant::now();
-    (0..TIMES).for_each(&mut work);
-    began.elapsed()
+    let started = Instant::now();
+    (0..REPETITIONS).for_each(&mut work);
+    started.elapsed()
 }
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -1,62 +1,61 @@
-/// Bounds of an owner, in milliseconds.
+/// Settings of an owner. Times are in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long a lease lasts; the agents' setting.
+    /// Duration of a lease, as in the agents' settings.
     pub lease: u64,
-    /// What an owner waits beyond a lease before it takes the lease for
-    /// lapsed. Covers late timers and a rounding to whole milliseconds.
+    /// Added to a lease before the owner considers it expired. Covers late timers and rounding
+    /// to whole milliseconds.
     pub lease_margin: u64,
-    /// An agent that tells nothing for so long has lost its connection. Two
-    /// pings and a half; a third of a lease is left to reach it anew.
+    /// Time without any notice from an agent after which its connection is closed. Two and a half
+    /// ping intervals; leaves a third of a lease to reconnect.
     pub connection_timeout: u64,
-    /// An owner that the table does not confirm counts only agents that it heard
-    /// within this time among those that it speaks to: a ping, and a tenth for its
-    /// way. Connections that a cut has silenced were counted for 2.5 s, and leases
-    /// granted for up to 0.8 s beyond what a successor reckons with.
+    /// Greatest age of an agent's last notice at which it counts toward the quorum of an owner that
+    /// the table has not confirmed: a ping interval and a tenth for its transit. At 2.5 s, agents
+    /// behind a partition still count, and leases are granted up to 0.8 s beyond what a new
+    /// owner allows for.
     pub quorum_age: u64,
-    /// A worker that has owed an answer for so long gets leases from its last answer
-    /// only. A look takes up to 1,000 ms, its repeat 400, and a ping is a second old.
+    /// A worker that has owed an answer for this long gets leases only from its last answer on. A
+    /// poll takes up to 1,000 ms, its retry 400 ms, and a ping may be one second old.
     pub answer_overdue: u64,
-    /// A worker that has owed an answer for so long gets nothing new: two lost
-    /// answers in a row.
+    /// A worker that has owed an answer for this long gets nothing new: two answers in a row
+    /// are missing.
     pub unresponsive_after: u64,
-    /// An owner that has not been confirmed by the table for so long grants
-    /// leases only while it speaks to most agents: another may have taken over. A
-    /// new owner reckons with leases granted until so long after its claim.
+    /// An owner that the table has not confirmed for this long grants leases only while it is
+    /// connected to a majority of agents, since another entry may have taken over. A new owner
+    /// allows for leases granted until this long after its claim.
     pub quorum_after: u64,
-    /// An owner that has not been confirmed for so long grants nothing more. The
-    /// longest outage through which work goes on; a new owner that cannot reach
-    /// most agents waits as long before it takes their leases for lapsed.
+    /// An owner that the table has not confirmed for this long grants no leases. This is the longest
+    /// table outage through which work continues. A new owner that cannot reach a majority of
+    /// agents waits as long before it considers their leases expired.
     pub grants_stop_after: u64,
-    /// A worker on which a run failed is the last choice for so long.
+    /// How long a worker at which a run failed is the last choice for new runs.
     pub failure_cooldown: u64,
-    /// Room that was made for a step is kept for it for so long. Several times
-    /// what a stop takes.
+    /// How long room that was made for a step is reserved for it. Several times what a stop takes.
     pub reservation_ttl: u64,
     /// Longest time that a worker takes to stop a run.
     pub stop_timeout: u64,
-    /// Runs that end by themselves within this time beyond a stop are waited for
-    /// instead of stopped.
+    /// Runs that would finish within this time after a stop completes are not stopped but waited
+    /// for.
     pub completion_grace: u64,
-    /// Nothing starts in an evacuated zone later than this after operators were told that they
-    /// evacuate it; none on a deployment where no zone is evacuated.
+    /// Time after which nothing may start any more in a zone whose evacuation was confirmed to the
+    /// operators; none on a deployment where zones are not evacuated.
     pub evacuation_deadline: Option<u64>,
-    /// Guaranteed room is given within this time after a job was accepted.
+    /// Time after the acceptance of a job within which guaranteed room is given to it.
     pub reclaim_deadline: u64,
-    /// An agent that is not connected, or knows no worker, for so long beyond its
-    /// leases is no member any more. It announces itself when its worker reports.
+    /// Time beyond its leases after which an agent without a connection or a worker is removed
+    /// from the members. It announces itself again when its worker reports.
     pub absence_timeout: u64,
-    /// Time between two records of the same job's checkpoints. What is lost when
-    /// all workers lose power at once; a checkpoint is made each 500 ms or so.
+    /// Time between two records of the same job's checkpoints, which bounds the work lost when all
+    /// workers lose power at once. Tasks make a checkpoint about every 500 ms.
     pub checkpoint_interval: u64,
-    /// Holders of a machine's fencing token take turns no faster than this.
+    /// Shortest time between two holders of a machine's fencing token.
     pub fencing_interval: u64,
     /// How long a machine is down for maintenance.
     pub maintenance_duration: u64,
-    /// The platform lists machines and their workers.
+    /// True if the platform lists machines with their workers.
     pub lists_machines: bool,
-    /// A run that a worker does not list, though its start was confirmed, is
-    /// taken for gone after this time: more than two looks.
+    /// Time after which a confirmed run that its worker does not list counts as ended. Longer than
+    /// two polls.
     pub missing_timeout: u64,
 }
 
