--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -15,7 +15,7 @@
     /// Since when the table is known to have no owner row.
     unowned_since: Option<u64>,
     /// The version of the row at which the former owner handed over to this entry.
-    handed_over_at: Option<u64>,
+    handover_version: Option<u64>,
     /// The row's version, and since when it has been unchanged without a gap in the reads.
     unchanged: Option<(u64, u64)>,
     /// When the table's changes were last read completely.
@@ -66,7 +66,7 @@
             incarnation,
             claim_timeout,
             unowned_since: None,
-            handed_over_at: None,
+            handover_version: None,
             unchanged: None,
             last_read: 0,
             disconnected_since: None,
@@ -86,7 +86,7 @@
 
     /// Handles a hand-over by the former owner to this entry; the row now has this version.
     pub fn on_handover(&mut self, version: u64) {
-        self.handed_over_at = Some(version);
+        self.handover_version = Some(version);
     }
 
     /// Handles a read of the table that found no owner row.
@@ -162,7 +162,7 @@
                     .is_some_and(|(_, since)| current >= since + OWNER_TIMEOUT_MS + self.stagger);
         // The previous incarnation of this process has ended.
         let turn_reached = unchanged.is_some_and(|(_, since)| now >= since + self.stagger);
-        let is_next = self.stagger == 0 || turn_reached || self.handed_over_at == Some(*version);
+        let is_next = self.stagger == 0 || turn_reached || self.handover_version == Some(*version);
         let vacant = owner.holder.is_empty() && is_next;
         own_former || disconnected || silent || vacant || (stale && now < current + timeout)
     }
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -31,9 +31,9 @@
             return;
         };
         let from = worker.incarnation();
-        let other = agent.worker.as_ref().is_none_or(|known| !known.is(&from));
-        let reborn = other && agent.worker.is_some();
-        if other {
+        let new_incarnation = agent.worker.as_ref().is_none_or(|known| !known.is(&from));
+        let restarted = new_incarnation && agent.worker.is_some();
+        if new_incarnation {
             // A machine list requested before this incarnation started cannot name it.
             agent.unresponsive_since = None;
             agent.last_end = 0;
@@ -44,16 +44,16 @@
             agent.refusals = Refusals::default();
             agent.shutdown_requested = false;
         }
-        if reborn {
+        if restarted {
             agent.silent_ms = 0;
         }
         let changed = agent.worker.as_ref().is_some_and(|known| known.fits_others(&worker));
         agent.zone_evacuated = self.evacuated.covers(&worker.zone);
         // Agents repeat the worker's last report, so the warm-up time counts from the first.
-        if agent.worker.as_ref().is_none_or(|known| known.cold != worker.cold) || other {
+        if agent.worker.as_ref().is_none_or(|known| known.cold != worker.cold) || new_incarnation {
             agent.cold_until = now + worker.cold;
         }
-        let first = fenced && !agent.fenced;
+        let first_answer = fenced && !agent.fenced;
         agent.no_worker_since = None;
         agent.worker_left = false;
         agent.worker = Some(worker);
@@ -62,11 +62,11 @@
         agent.listed_runs = running.iter().map(|run| (run.task.clone(), run.number)).collect();
         self.replan |= !std::mem::take(&mut agent.strays).is_empty();
         // A worker that broke its connections is schedulable again once it answers.
-        let broke = fenced && agent.crash.is_some();
-        if reborn || first || changed || broke {
+        let recovered = fenced && agent.crash.is_some();
+        if restarted || first_answer || changed || recovered {
             self.replan = true;
         }
-        if other {
+        if new_incarnation {
             self.drop_former_runs(name, &from, now);
         }
         for end in ended {
@@ -81,7 +81,7 @@
             self.drop_missing(name, running, now);
             self.stop_stalled_runs(name, now);
         }
-        if first {
+        if first_answer {
             self.resend_orders(name, &from, now);
         }
     }
@@ -169,10 +169,10 @@
         // A former owner started the later run only after the earlier one had ended, but the
         // agent of a lost worker still lists what ran there. Without this check the later,
         // live run would be stopped as a stray and its task started a second time.
-        let earlier = entry.runs.get(&key).is_some_and(|placed| placed.run < run.number);
-        if earlier && let Some(former) = entry.runs.remove(&key) {
+        let has_earlier = entry.runs.get(&key).is_some_and(|placed| placed.run < run.number);
+        if has_earlier && let Some(earlier) = entry.runs.remove(&key) {
             let detail =
-                format!("{key:?} run {} at {}: a later run is active", former.run, former.agent);
+                format!("{key:?} run {} at {}: a later run is active", earlier.run, earlier.agent);
             self.log("run lost", &run.task.job, detail);
         }
         let Some(entry) = self.jobs.get_mut(&run.task.job) else { return };
@@ -289,11 +289,11 @@
         if current || vacant {
             entry.update_checkpoint(slot, &end.saved);
         }
-        let spent = run.as_ref().map(|run| run.timing_detail(now)).unwrap_or_default();
+        let timing = run.as_ref().map(|run| run.timing_detail(now)).unwrap_or_default();
         self.log(
             "run ended",
             &job,
-            format!("{} run {} {:?} at {name}{spent}", end.task, end.run, end.how),
+            format!("{} run {} {:?} at {name}{timing}", end.task, end.run, end.how),
         );
         if matches!(end.how, How::Done | How::Failed) {
             self.on_start_outlived(&end.task);
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -43,9 +43,9 @@
         if current.is_some_and(|worker| worker.draining) || agent.shutdown_requested {
             return;
         }
-        let later = current.is_none() && agent.worker.is_some();
+        let restarted = current.is_none() && agent.worker.is_some();
         agent.crash = Some(SuspectedCrash { worker, starts });
-        if later {
+        if restarted {
             self.attribute_crash(name);
         }
     }
@@ -213,7 +213,7 @@
     }
 }
 
-/// The kind of the most recent start at a worker, if it is recent.
+/// What was recently started at a worker.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum RecentStart {
     /// Only tasks that are not suspected.
@@ -265,9 +265,9 @@
         return vec![(tasks, false)];
     }
     let slot = |index: u32| entry.slot((occurrence, step, index));
-    let open = |slot: &Key| !entry.exonerated.contains(slot);
+    let unexplained = |slot: &Key| !entry.exonerated.contains(slot);
     let in_progress = |(key, placed): (&Key, &Placement)| {
-        open(&entry.slot(*key))
+        unexplained(&entry.slot(*key))
             && RecentStart::of(id, entry, *key, placed, now) == Some(RecentStart::Suspect)
     };
     if entry.crash_unrecorded || entry.runs.iter().any(in_progress) {
@@ -278,7 +278,7 @@
     let gang = entry.job.steps.get(step as usize).is_some_and(|step| step.gang);
     let mut groups = match gang && !suspects.is_empty() {
         true => vec![(suspects, true)],
-        false => separately(suspects, |index| open(&slot(index))),
+        false => separately(suspects, |index| unexplained(&slot(index))),
     };
     if !others.is_empty() && !waits_for_suspect(entry, (occurrence, step), now) {
         groups.push((others, false));
@@ -288,16 +288,17 @@
 
 /// Suspects that may be retried now, each as a group of its own: the first that is not exonerated,
 /// and all that are.
-fn separately(suspects: Vec<u32>, open: impl Fn(u32) -> bool) -> Vec<(Vec<u32>, bool)> {
-    let first = suspects.iter().copied().find(|index| open(*index));
-    let retried = suspects.into_iter().filter(|index| first == Some(*index) || !open(*index));
+fn separately(suspects: Vec<u32>, unexplained: impl Fn(u32) -> bool) -> Vec<(Vec<u32>, bool)> {
+    let first = suspects.iter().copied().find(|index| unexplained(*index));
+    let retried =
+        suspects.into_iter().filter(|index| first == Some(*index) || !unexplained(*index));
     retried.map(|index| (vec![index], true)).collect()
 }
 
 /// True if tasks of the step must wait for a suspect of their job that has not been retried.
 fn waits_for_suspect(entry: &Entry, step: (u32, u32), now: u64) -> bool {
-    let runs = |slot: &Key| entry.runs.keys().any(|key| entry.slot(*key) == *slot);
-    let waiting = |slot: &Key| !entry.exonerated.contains(slot) && !runs(slot);
+    let is_running = |slot: &Key| entry.runs.keys().any(|key| entry.slot(*key) == *slot);
+    let waiting = |slot: &Key| !entry.exonerated.contains(slot) && !is_running(slot);
     let within_delay = entry.idle_since.is_none_or(|since| now < since + OTHER_STEPS_DELAY_MS);
     let blocks = |slot: Key| within_delay || (slot.0, slot.1) == step;
     entry.progress.suspects().filter(waiting).any(blocks)
