--- a/crates/dispatch/benches/owner.rs
+++ b/crates/dispatch/benches/owner.rs
@@ -5,12 +5,12 @@
 //!
 //! Each worker has 8 accelerators and runs 8 tasks; 2,000 tasks are queued.
 
-#[path = "../tests/bed/mod.rs"]
-mod bed;
+#[path = "../tests/harness/mod.rs"]
+mod harness;
 
 use std::time::{Duration, Instant};
 
-use bed::{Bed, job, run, step};
+use harness::{Harness, job, run, step};
 use quincewheel_job::Run;
 use quincewheel_wire::Notice;
 
@@ -23,26 +23,26 @@
 
 fn main() {
     for workers in [30, 100, 300] {
-        let mut bed = full(workers);
-        let statuses: Vec<Vec<Run>> = (0..workers).map(|number| listed(&bed, number)).collect();
+        let mut harness = full(workers);
+        let statuses: Vec<Vec<Run>> = (0..workers).map(|number| listed(&harness, number)).collect();
         let micros = |spent: Duration| spent.as_micros() as u64 / u64::from(REPETITIONS);
         let status = time(|at| {
             let number = u64::from(at) % workers;
-            bed.status(number, &statuses[number as usize], &[]);
+            harness.report_status(number, &statuses[number as usize], &[]);
         });
         let ping = time(|at| {
-            let notice = Notice::Ping { stamp: bed.now, silent: 0 };
-            bed.notice(u64::from(at) % workers, notice);
+            let notice = Notice::Ping { stamp: harness.now, silent: 0 };
+            harness.deliver(u64::from(at) % workers, notice);
         });
         let round = time(|at| {
             // A new job triggers planning.
-            bed.owner.add_job(
+            harness.owner.add_job(
                 &format!("n{at}"),
                 job(1, vec![step(1, 8)]),
                 900 + u64::from(at),
                 None,
             );
-            bed.step();
+            harness.tick();
         });
         println!(
             "{workers} workers: status {} us, ping {} us, planning round {} us",
@@ -53,31 +53,36 @@
     }
 }
 
-/// A test bed whose workers are all full, with queued jobs.
-fn full(workers: u64) -> Bed {
-    let mut bed = Bed::open(1, workers).idle(workers);
+/// A test harness whose workers are all full, with queued jobs.
+fn full(workers: u64) -> Harness {
+    let mut harness = Harness::new(1, workers).with_idle_workers(workers);
     for number in 0..workers {
         let tasks = vec![step(TASKS_PER_WORKER as u32, 1)];
-        bed.owner.add_job(&format!("r{number:04}"), job(2, tasks), 150 + number, None);
+        harness.owner.add_job(&format!("r{number:04}"), job(2, tasks), 150 + number, None);
     }
-    bed.step();
+    harness.tick();
     for number in 0..QUEUED_JOBS {
         let tasks = vec![step(40, 1)];
-        bed.owner.add_job(&format!("w{number:04}"), job(2, tasks), 600 + u64::from(number), None);
+        harness.owner.add_job(
+            &format!("w{number:04}"),
+            job(2, tasks),
+            600 + u64::from(number),
+            None,
+        );
     }
-    bed.step();
-    bed
+    harness.tick();
+    harness
 }
 
 /// The runs of a worker, from the start orders that its agent received.
-fn listed(bed: &Bed, number: u64) -> Vec<Run> {
+fn listed(harness: &Harness, number: u64) -> Vec<Run> {
     let mine = format!("w{number} start ");
-    let orders = bed.lines.iter().filter_map(|line| line.strip_prefix(&mine));
+    let orders = harness.orders.iter().filter_map(|line| line.strip_prefix(&mine));
     let task = |order: &str| {
         let (name, rest) = order.split_once(" run ")?;
         let (job, rest) = (name.split('.').next()?, rest.split(' ').next()?);
         let index = name.rsplit('.').next()?.parse().ok()?;
-        Some(run(bed::task(job, 0, index), rest.parse().ok()?))
+        Some(run(harness::task(job, 0, index), rest.parse().ok()?))
     };
     orders.filter_map(task).collect()
 }
