--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -30,11 +30,12 @@
         let Some(agent) = self.agents.get_mut(name) else { return };
         if agent.blame.note(&task.job) && closed < most {
             let ms = agent.blame.close(now);
-            self.log("worker closed", name, format!("for {ms} ms: all recent tasks there failed"));
+            self.log("worker closed", name, format!("for {ms} ms: all recent tasks failed"));
         }
     }
 
-    /// Reopens workers whose closure has expired, and lets tasks return to workers that they avoided.
+    /// Reopens workers whose closure has expired, and lets tasks return to workers that they
+    /// avoided.
     pub(crate) fn reopen_workers(&mut self, now: u64) {
         if self.avoidance_ends_at.take_if(|at| *at <= now).is_some() {
             self.replan = true;
--- a/crates/dispatch/src/clearance.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -1,9 +1,9 @@
 //! Clearance of steps for workers.
 //!
 //! An external service decides which workers may run a step. It answers one call at a time, and a
-//! call's time grows with its number of workers. So a step requests clearance for a few workers, those
-//! with the most room first, and for more only while tasks have no place. A refusal is final, and
-//! an expired ticket is requested again.
+//! call's time grows with its number of workers. So a step requests clearance for a few workers,
+//! those with the most room first, and for more only while tasks have no place. A refusal is final,
+//! and an expired ticket is requested again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -1,11 +1,11 @@
 //! Availability zones that operators evacuate.
 //!
 //! Nothing new starts in an evacuated zone once the owner knows of the evacuation. Runs there
-//! continue to their end: a stop would discard their work, and tasks cut off when the zone goes dark
-//! start elsewhere as after any loss. Room for waiting work, guaranteed or not, is made in the other
-//! zones as if the evacuated ones did not exist, so guarantees hold as long as the other zones can
-//! satisfy them. Gangs start only in the other zones. If an evacuated zone refuses members of a gang
-//! that is being started, the gang's other members are stopped.
+//! continue to their end: a stop would discard their work, and tasks cut off when the zone goes
+//! dark start elsewhere as after any loss. Room for waiting work, guaranteed or not, is made in the
+//! other zones as if the evacuated ones did not exist, so guarantees hold as long as the other
+//! zones can satisfy them. Gangs start only in the other zones. If an evacuated zone refuses
+//! members of a gang that is being started, the gang's other members are stopped.
 //!
 //! The owner closes the workers of the zone and notifies all agents, which refuse starts that are
 //! still in flight. An owner that has not read the operators' rows for almost as long as an
@@ -22,8 +22,8 @@
 const CHECK_INTERVAL_MS: u64 = 250;
 
 /// How long before the evacuation deadline an owner that cannot read the operators' rows stops
-/// ordering starts: an agent tries a start three times, 400 ms apart. At most a third of the deadline
-/// is used.
+/// ordering starts: an agent tries a start three times, 400 ms apart. At most a third of the
+/// deadline is used.
 const START_CUTOFF_MS: u64 = 1300;
 
 /// The evacuated zones, and what was logged and sent about them.
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Logs once for each evacuated zone when nothing runs there any more, so that it may be switched
-    /// off.
+    /// Logs once for each evacuated zone when nothing runs there any more, so that it may be
+    /// switched off.
     pub(crate) fn check_evacuated_zones(&mut self, now: u64) {
         if self.evacuated.zones.is_empty() || now < self.evacuated.last_checked + CHECK_INTERVAL_MS
         {
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -2,10 +2,10 @@
 //!
 //! A worker that is removed, crashes or loses its machine sends no notice. As far as its agent can
 //! tell, its runs may continue until the lease expires, and waiting for that delays gangs by 10 to
-//! 19 s. The platform knows earlier: its machine list names the worker of each machine, and a worker
-//! that is not named has ended. A partitioned worker is still listed, so its lease is waited for; so
-//! is one that restarted under its id, until it reports. In 111 days with all kinds of faults, lists
-//! requested four times a second never omitted a worker that answered later.
+//! 19 s. The platform knows earlier: its machine list names the worker of each machine, and a
+//! worker that is not named has ended. A partitioned worker is still listed, so its lease is waited
+//! for; so is one that restarted under its id, until it reports. In 111 days with all kinds of
+//! faults, lists requested four times a second never omitted a worker that answered later.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -95,8 +95,8 @@
     /// Drops workers that a complete machine list, requested at `sent`, does not name.
     ///
     /// A list of several pages is not a consistent snapshot: a machine that is removed between two
-    /// pages may shift another one out of both. So a worker must be missing from two such lists in a
-    /// row. A list without any machine is ignored.
+    /// pages may shift another one out of both. So a worker must be missing from two such lists in
+    /// a row. A list without any machine is ignored.
     pub(crate) fn on_machine_list(&mut self, machines: &[Machine], pages: usize, sent: u64) {
         if machines.is_empty() {
             return;
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -37,8 +37,8 @@
     /// earlier connection.
     pub fn on_connected(&mut self, agent: &str, link: LinkId, now: u64) {
         if self.dismissal.contains(agent) {
-            // It was dialled before the removal of its row was known, or it has not announced
-            // itself again yet, which an agent with a connected owner never does.
+            // The connection was opened before the removal of the agent's row was known, or the
+            // agent has not announced itself again yet, which it never does while connected.
             return self.outputs.push(Output::Close { link });
         }
         self.add_agent(agent, now);
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -24,9 +24,9 @@
     /// connected to a majority of agents, since another entry may have taken over. A new owner
     /// allows for leases granted until this long after its claim.
     pub quorum_after: u64,
-    /// An owner that the table has not confirmed for this long grants no leases. This is the longest
-    /// table outage through which work continues. A new owner that cannot reach a majority of
-    /// agents waits as long before it considers their leases expired.
+    /// An owner that the table has not confirmed for this long grants no leases. This is the
+    /// longest table outage through which work continues. A new owner that cannot reach a majority
+    /// of agents waits as long before it considers their leases expired.
     pub grants_stop_after: u64,
     /// How long a worker at which a run failed is the last choice for new runs.
     pub failure_cooldown: u64,
