--- a/crates/dispatch/tests/previous_owner_leases.rs
+++ b/crates/dispatch/tests/previous_owner_leases.rs
@@ -37,7 +37,7 @@
 // is cut off from the table, the entries and all agents but one; another entry takes over 0.7 s
 // after its connection broke, with a stagger of as little as nothing, and connects to all other
 // agents at once. An owner that the table does not confirm goes on granting for 1.5 s (the setting
-// `unconfirmed`), which is shorter than the wait of other entries for an unchanged row (1.7 s), but
+// `quorum_after`), which is shorter than the wait of other entries for an unchanged row (1.7 s), but
 // not than this one.
 #[test]
 fn lease_granted_by_an_owner_whose_connections_broke_lapses_in_time() {
