--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -86,7 +86,7 @@
     /// The job's state as shown to clients: a cancelled job that has not ended counts as cancelled.
     pub fn state(&self) -> State {
         let state = self.progress.as_ref().map_or(State::Queued, |progress| progress.state);
-        if self.cancelled && !state.ended() { State::Cancelled } else { state }
+        if self.cancelled && !state.is_final() { State::Cancelled } else { state }
     }
 }
 
@@ -189,7 +189,7 @@
     pub fn expired_jobs(&mut self, now: u64, retention: u64, limit: usize) -> Vec<Id> {
         let Mirror { jobs, ended_at, .. } = self;
         ended_at.retain(|id, _| jobs.contains_key(id));
-        for (id, _) in jobs.iter().filter(|(_, view)| view.state().ended()) {
+        for (id, _) in jobs.iter().filter(|(_, view)| view.state().is_final()) {
             ended_at.entry(id.clone()).or_insert(now);
         }
         let expired = ended_at.iter().filter(|(_, since)| now >= **since + retention);
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -31,7 +31,8 @@
             return;
         };
         let from = worker.incarnation();
-        let new_incarnation = agent.worker.as_ref().is_none_or(|known| !known.is(&from));
+        let new_incarnation =
+            agent.worker.as_ref().is_none_or(|known| !known.is_incarnation(&from));
         let restarted = new_incarnation && agent.worker.is_some();
         if new_incarnation {
             // A machine list requested before this incarnation started cannot name it.
@@ -40,14 +41,14 @@
             agent.acknowledged_end = 0;
             agent.consecutive_failures = 0;
             agent.doubted_until = 0;
-            agent.blame.clear();
+            agent.blame.reset();
             agent.refusals = Refusals::default();
             agent.shutdown_requested = false;
         }
         if restarted {
             agent.silent_ms = 0;
         }
-        let changed = agent.worker.as_ref().is_some_and(|known| known.fits_others(&worker));
+        let changed = agent.worker.as_ref().is_some_and(|known| known.eligibility_differs(&worker));
         agent.zone_evacuated = self.evacuated.covers(&worker.zone);
         // Agents repeat the worker's last report, so the warm-up time counts from the first.
         if agent.worker.as_ref().is_none_or(|known| known.cold != worker.cold) || new_incarnation {
@@ -191,7 +192,7 @@
             }
             // The task has a later run or is done, so this run is a stray.
             Some(_) => self.stop_stray(name, from, &run.task, run.number, now),
-            None if entry.progress.done(&run.task) || entry.progress.state.ended() => {
+            None if entry.progress.is_done(&run.task) || entry.progress.state.is_final() => {
                 self.stop_stray(name, from, &run.task, run.number, now);
             }
             None => {
@@ -346,16 +347,16 @@
         if let Some(agent) = self.agents.get_mut(name) {
             agent.consecutive_failures = 0;
             agent.doubted_until = 0;
-            agent.blame.clear();
+            agent.blame.reset();
         }
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let before = entry.progress.state;
         let step = entry.job.steps.get(task.step as usize);
-        if before.ended() || step.is_some_and(|step| step.perpetual) {
+        if before.is_final() || step.is_some_and(|step| step.perpetual) {
             return;
         }
-        entry.progress.finish(&entry.job, task);
-        let ended = entry.progress.state.ended();
+        entry.progress.mark_done(&entry.job, task);
+        let ended = entry.progress.state.is_final();
         // A speculative copy of a finished task is no longer needed.
         let other = entry.runs.contains_key(&task_key(task));
         let gang = step_is_gang(entry.job.steps.get(task.step as usize));
@@ -378,10 +379,10 @@
         self.record_failure(name, task, now);
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let perpetual = entry.step(task_key(task)).is_some_and(|step| step.perpetual);
-        if entry.progress.state.ended() || perpetual {
+        if entry.progress.state.is_final() || perpetual {
             return;
         }
-        let failures = entry.progress.fail(&entry.job, task, run);
+        let failures = entry.progress.record_failure(&entry.job, task, run);
         let last = failures >= entry.job.queue.attempts;
         self.mark_dirty(&task.job, last);
         if last {
@@ -392,7 +393,7 @@
     /// Closes an ended job once none of its runs is left and its end is recorded.
     fn close_if_finished(&mut self, id: &str) {
         let finished =
-            |entry: &crate::entry::Entry| entry.progress.state.ended() && entry.runs.is_empty();
+            |entry: &crate::entry::Entry| entry.progress.state.is_final() && entry.runs.is_empty();
         if self.jobs.get(id).is_some_and(finished)
             && !self.dirty.contains(id)
             && !self.record_in_flight
