--- a/crates/shard/src/record.rs
+++ b/crates/shard/src/record.rs
@@ -56,6 +56,7 @@
 pub(crate) struct AttemptState {
     pub attempt: Attempt,
     pub step: Step,
+    /// When the attempt was created, or when Go was last sent.
     pub updated_at: Duration,
     /// Members, ordered by the rank of their lowest task.
     pub workers_by_rank: Vec<String>,
