--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -7,91 +7,98 @@
 use crate::saved::Saved;
 use crate::settings::Settings;
 
-/// An occurrence, a step and a task's index in it.
+/// Identifies a task of a job: the occurrence, the step, and the task's index in the step.
 pub(crate) type Key = (u32, u32, u32);
 
-/// An unfinished job.
+/// The owner's state of an unfinished job.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    /// The job.
+    /// The job as its client submitted it.
     pub job: Job,
-    /// Orders jobs by when they were accepted.
+    /// Version of the table at which the job was accepted; jobs are ordered by it.
     pub version: u64,
-    /// How far it is.
+    /// Which tasks are done, and the job's state, as recorded or about to be.
     pub progress: Progress,
     /// Runs that may exist, by task.
     pub runs: BTreeMap<Key, Placement>,
-    /// Since when nothing of it has run; none while something does.
+    /// Since when the job has had no runs; none while it has any.
     pub idle_since: Option<u64>,
-    /// The newest checkpoint of each task, or of a gang under index 0.
+    /// The newest checkpoint of each task. A gang has one, at index 0.
     pub saved: BTreeMap<Key, String>,
-    /// There are checkpoints newer than their record.
+    /// Whether checkpoints have changed since they were last recorded.
     pub checkpoints_dirty: bool,
     /// When the checkpoints were last recorded.
     pub checkpoints_recorded_at: u64,
-    /// The last number given to a run of each task, or of a gang under index 0.
+    /// The last run number used for each task. A gang has one, at index 0.
     pub run_numbers: BTreeMap<Key, u64>,
-    /// How long the longest task of each step took that ran without a break.
+    /// Run time in milliseconds of each step's slowest task so far, by step. Only runs that
+    /// did not resume from a checkpoint count.
     pub step_durations: BTreeMap<u32, u64>,
-    /// Incarnations of workers at which a task, or a gang under index 0, has failed, and
-    /// until when it does not return there.
+    /// Incarnations of workers at which a task has failed, and until when it must not return
+    /// there. A gang has one set, at index 0.
     pub avoided_workers: BTreeMap<Key, BTreeMap<Incarnation, u64>>,
-    /// Where steps are cleared to run, on queues that need it.
+    /// Workers that each step is cleared for, by occurrence and step, on queues that need it.
     pub clearances: BTreeMap<(u32, u32), Clearance>,
-    /// All tasks of its first step have begun: what a guarantee promises in time is kept.
+    /// Whether all tasks of the first step have begun, which fulfils the time bound of a
+    /// guarantee.
     pub has_begun: bool,
-    /// Room that was guaranteed to it was taken for a guarantee that nothing else could keep.
+    /// Whether guaranteed capacity was taken from this job because no other work could make
+    /// room for another guarantee in time.
     pub guarantee_preempted: bool,
-    /// Room that is being made for a step.
+    /// Room that is being made for steps, by occurrence and step.
     pub reservations: BTreeMap<(u32, u32), Reservation>,
-    /// Tasks, or gangs under index 0, that have outlived a start.
+    /// Tasks whose worker kept running after it had started them, so that they are not
+    /// suspected of crashing it. A gang is listed at index 0.
     pub survived_start: BTreeSet<Key>,
-    /// Suspects, or their gangs under index 0, that were lost beside a task that has since
-    /// crashed a worker by itself.
+    /// Suspected tasks that were lost in a crash together with a task that has since crashed
+    /// a worker on its own. A gang is listed at index 0.
     pub exonerated: BTreeSet<Key>,
-    /// A crash under one of its tasks is not recorded yet: none of it starts, or a change of
-    /// owner could forget the crash, and the task be started without end.
+    /// Whether a crash attributed to one of the tasks is not recorded yet. Until then none of
+    /// the job's tasks starts: a new owner would not know of the crash, and could start the
+    /// task again and again.
     pub crash_unrecorded: bool,
 }
 
 /// A run that may exist.
 #[derive(Clone, Debug)]
 pub(crate) struct Placement {
-    /// The agent of its worker.
+    /// Name of the worker's agent.
     pub agent: String,
-    /// Which incarnation of the worker.
+    /// Incarnation of the worker that was ordered to start it.
     pub worker: Incarnation,
-    /// Numbers the task's starts.
+    /// The run's number. Later starts of the same task have higher ones.
     pub run: u64,
-    /// What the owner knows of it.
+    /// Whether it is starting, running or being stopped.
     pub phase: Phase,
-    /// Since when it has been in this phase, or listed by the worker.
+    /// When it entered this phase, or was last listed by the worker if that is later.
     pub updated_at: u64,
-    /// When it was started.
+    /// When the start was ordered, or when this owner first learned of the run.
     pub started_at: u64,
-    /// When its worker was first known to have it.
+    /// When the worker first confirmed or listed it.
     pub confirmed_at: Option<u64>,
-    /// Names the unit that stops as a whole.
+    /// Id of the unit of runs that can only be stopped together: a gang, or one run.
     pub unit: u64,
-    /// How far it is, 0 to 100.
+    /// Progress, from 0 to 100.
     pub percent: u32,
-    /// When it last got further.
+    /// When the progress last changed.
     pub progressed_at: u64,
-    /// The share of its speed at which it was told to work, in percent.
+    /// The share of full speed that it was last ordered to run at, in percent.
     pub pace: u32,
-    /// It began anew, here: neither from a checkpoint nor under a former owner.
+    /// Whether this owner started it, and without a checkpoint: only then is its run time that
+    /// of the whole task.
     pub from_scratch: bool,
     /// When the worker first listed it, by the agent's clock.
     pub first_listed_at: Option<u64>,
-    /// Its worker has outlived its start.
+    /// Whether the worker has kept running for long enough after the start that the task did
+    /// not crash it.
     pub survived_start: bool,
-    /// The job that it gives way to.
+    /// The job that it was stopped for.
     pub preempted_by: Option<Id>,
 }
 
 impl Placement {
-    /// How long its start took to be confirmed and how long it ran from there, for the
-    /// log, and whom it gave way to; nothing if it never was.
+    /// Formats for the log how long the start took to be confirmed, how long the run lasted from
+    /// there, and which job preempted it. Empty if the start was never confirmed.
     pub fn timing_detail(&self, now: u64) -> String {
         let Some(confirmed) = self.confirmed_at else { return String::new() };
         let (start, ran) = (confirmed - self.started_at, now - confirmed);
@@ -99,10 +106,13 @@
         format!(", started after {start} ms, ran {ran} ms{to}")
     }
 
-    /// True if, going by its progress, it ends by itself about as soon as a
-    /// stop would take: stopping it then only throws its work away.
+    /// Returns whether the run, going by its progress, will end about as soon as a stop would
+    /// take effect. Stopping it would then lose its work and gain no time.
     pub fn ends_soon(&self, settings: &Settings, now: u64) -> bool {
-        if !self.from_scratch || self.phase != Phase::Running || self.percent < EVEN {
+        if !self.from_scratch
+            || self.phase != Phase::Running
+            || self.percent < MIN_EXTRAPOLATION_PERCENT
+        {
             return false;
         }
         let ran = self.updated_at.saturating_sub(self.started_at);
@@ -111,31 +121,31 @@
     }
 }
 
-/// Progress from which on the rest of a run can be reckoned, in percent.
-const EVEN: u32 = 70;
+/// Progress from which on the remaining time of a run can be extrapolated.
+const MIN_EXTRAPOLATION_PERCENT: u32 = 70;
 
-/// What the owner knows of a run.
+/// The state of a run, as far as the owner knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
-    /// It was ordered.
+    /// Its start was ordered and has not been confirmed.
     Starting,
-    /// It was confirmed or listed.
+    /// Its worker has confirmed or listed it.
     Running,
     /// Its stop was ordered.
     Stopping,
 }
 
-/// Room that is being made for a step.
+/// Workers whose room is reserved for a step while other work there is being stopped.
 #[derive(Clone, Debug)]
 pub(crate) struct Reservation {
-    /// An agent for each task.
+    /// The agent chosen for each task.
     pub agents: Vec<String>,
-    /// When it was made.
+    /// When the room was reserved.
     pub made_at: u64,
 }
 
 impl Entry {
-    /// Takes a checkpoint in; empty if there is none.
+    /// Stores a task's checkpoint as reported by a worker. An empty one means there is none.
     pub fn update_checkpoint(&mut self, slot: Key, checkpoint: &str) {
         if !checkpoint.is_empty() {
             self.checkpoints_dirty |= self.saved.get(&slot).is_none_or(|known| known != checkpoint);
@@ -143,37 +153,37 @@
         }
     }
 
-    /// The checkpoints that are worth a record: those of tasks not yet done.
+    /// Returns the checkpoints to record: those of tasks that are not done.
     pub fn open_checkpoints(&self, id: &str) -> Saved {
-        let open = self.saved.iter().filter(|(key, _)| !self.progress.done(&task(id, **key)));
-        Saved::open(open)
+        let tasks = self.saved.iter().filter(|(key, _)| !self.progress.done(&task(id, **key)));
+        Saved::open(tasks)
     }
 
-    /// The key under which a task's numbers, checkpoint and failures are kept.
+    /// Returns the key under which a task's run numbers, checkpoint and failures are stored. All
+    /// members of a gang share the one with index 0.
     pub fn slot(&self, (occurrence, step, index): Key) -> Key {
         let gang = self.job.steps.get(step as usize).is_some_and(|step| step.gang);
         (occurrence, step, if gang { 0 } else { index })
     }
 
-    /// What clears a task for a worker, if it is cleared.
+    /// Returns the ticket that clears a task's step for a worker, if there is a valid one.
     pub fn ticket(&self, key: Key, worker: &Incarnation, now: u64) -> Option<&str> {
         self.clearances.get(&(key.0, key.1))?.ticket(worker, now)
     }
 
-    /// The step of a task.
+    /// Returns the step of a task.
     pub fn step(&self, key: Key) -> Option<&Step> {
         self.job.steps.get(key.1 as usize)
     }
 
-    /// When any run that stops together with this one last got further.
+    /// Returns when any run in the same unit last made progress.
     pub fn unit_progressed_at(&self, placed: &Placement) -> u64 {
         let unit = self.runs.values().filter(|other| other.unit == placed.unit);
         unit.map(|other| other.progressed_at).max().unwrap_or(placed.progressed_at)
     }
 
-    /// True if all runs that stop together with this one end by themselves about
-    /// as soon as a stop would take. A member of a gang that is through waits
-    /// for the others.
+    /// Returns whether all runs in the same unit will end about as soon as a stop would take
+    /// effect. A gang ends only with its slowest member, so one of them is not enough.
     pub fn unit_ends_soon(&self, placed: &Placement, settings: &Settings, now: u64) -> bool {
         placed.ends_soon(settings, now)
             && self
@@ -183,24 +193,24 @@
                 .all(|other| other.ends_soon(settings, now))
     }
 
-    /// How many workers in a row crashed just after starts of a task.
+    /// Returns how many workers in a row crashed just after they had started the task.
     pub fn consecutive_crashes(&self, id: &str, key: Key) -> u32 {
         if self.progress.suspected() { self.progress.crashes(&self.job, &task(id, key)) } else { 0 }
     }
 
-    /// True if the run of a task, or of all members of its gang, has outlived its start.
-    /// Members that wait for another prove nothing: the gang has not begun to work, and the
-    /// one that is missing may have crashed its worker.
+    /// Returns whether the run of a task has survived its start, and those of all members if
+    /// it is in a gang. Some members alone prove nothing: a gang does no work before it is
+    /// complete, and a missing member may have crashed its worker.
     pub fn gang_survived_start(&self, key: Key) -> bool {
         let Some(step) = self.step(key).filter(|step| step.gang) else {
             return self.runs.get(&key).is_some_and(|placed| placed.survived_start);
         };
         let all = (key.0, key.1, 0)..=(key.0, key.1, u32::MAX);
-        let outlived = self.runs.range(all).filter(|(_, placed)| placed.survived_start);
-        outlived.count() == step.count as usize
+        let survived = self.runs.range(all).filter(|(_, placed)| placed.survived_start);
+        survived.count() == step.count as usize
     }
 
-    /// Takes note of whether all tasks of its first step have begun.
+    /// Sets [`Entry::has_begun`] once all tasks of the first step run or are done.
     pub fn update_has_begun(&mut self, id: &str) {
         let Some(step) = self.job.steps.first().filter(|_| !self.has_begun) else { return };
         let begun = |index: u32| {
@@ -211,7 +221,7 @@
         self.has_begun = (0..step.count).all(begun);
     }
 
-    /// True if a run of the step may exist.
+    /// Returns whether any run of the step may exist.
     pub fn has_runs(&self, occurrence: u32, step: u32) -> bool {
         let all = (occurrence, step, 0)..=(occurrence, step, u32::MAX);
         self.runs.range(all).next().is_some()
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -20,88 +20,99 @@
 use crate::upkeep::Upkeep;
 use crate::waits::Waits;
 
-/// Decides over all jobs.
+/// The scheduling state of all unfinished jobs and of all workers.
+///
+/// Events are passed in through methods; whatever must be done in response is queued and
+/// returned by [`Owner::take_outputs`]. Fields and parameters named `now` are monotonic times,
+/// `wall` is the time of day, both in milliseconds.
 pub struct Owner {
     pub(crate) settings: Settings,
     pub(crate) epoch: u64,
+    /// When this entry claimed ownership.
     pub(crate) claimed_at: u64,
-    /// When time last passed.
+    /// Time of the last tick.
     pub(crate) now: u64,
-    /// When all agents were last looked at.
+    /// When the timeouts of all agents were last checked.
     agents_checked_at: u64,
-    /// When runs that no worker lists were last looked for.
+    /// When the owner last checked for runs that their workers do not list.
     pub(crate) unlisted_checked_at: u64,
     /// The table's version at which the ownership was claimed.
     pub(crate) claim_version: u64,
+    /// When the last request was sent whose answer showed that this entry still owns.
     pub(crate) confirmed_at: u64,
-    /// When the last write of the owner's row was sent that took effect then.
+    /// When the last successful write of the owner's row was sent.
     renewed_at: u64,
     pub(crate) config: Config,
     pub(crate) jobs: BTreeMap<Id, Entry>,
-    /// Jobs that ended under this owner and whose rows are still there.
+    /// Jobs that ended under this owner and whose rows are still in the table.
     pub(crate) ended_jobs: BTreeSet<Id>,
-    /// Jobs up to this version of the table were taken in at the takeover.
+    /// Version of the table up to which jobs were loaded at the takeover; 0 before that.
     pub(crate) loaded_version: u64,
     pub(crate) agents: BTreeMap<String, Agent>,
     pub(crate) links: BTreeMap<LinkId, String>,
-    /// Agents that were members.
+    /// Agents that were removed from the members.
     pub(crate) dismissal: Dismissal,
-    /// Runs that nobody waits for, and when their stop was ordered.
+    /// Stray runs, which belong to no job's current state, and when their stop was ordered.
     pub(crate) stray_stops: BTreeMap<(Task, u64), u64>,
+    /// Jobs whose progress has changed since it was last recorded.
     pub(crate) dirty: BTreeSet<Id>,
-    /// A change of state that callers wait for is among the dirty ones.
+    /// Whether the dirty jobs include a change of state that clients wait for.
     pub(crate) dirty_urgent: bool,
-    /// Run times of earlier steps.
+    /// Run times of completed steps, used for estimates.
     pub(crate) times: Times,
-    /// More was learned of them than was recorded.
+    /// Whether `times` has changed since it was last recorded.
     pub(crate) times_changed: bool,
-    /// The service that clears steps for workers has a question to answer.
+    /// Whether a request to the service that clears steps for workers is in flight.
     pub(crate) advice_pending: bool,
     /// When the next task may return to a worker at which it failed.
     pub(crate) avoidance_ends_at: Option<u64>,
-    /// When room that is kept for a step is void, if it has not become free.
+    /// When the next reservation expires.
     pub(crate) reservation_ends_at: Option<u64>,
-    /// When a question that got no answer may be asked again.
+    /// When a clearance request that got no answer may be retried.
     pub(crate) advice_retry_at: Option<u64>,
+    /// Whether a batch from [`Owner::record`] has not been acknowledged yet.
     pub(crate) record_in_flight: bool,
+    /// Whether something changed that may let work start, so that the next tick must plan.
     pub(crate) replan: bool,
-    /// When most agents were first known to follow this owner.
+    /// When a majority of agents was first known to follow this owner.
     pub(crate) majority_since: Option<u64>,
-    /// No former owner grants leases any more.
+    /// Whether no predecessor can grant leases any more.
     pub(crate) predecessor_ended: bool,
-    /// Nothing that a former owner started can be unknown any more.
+    /// Whether every run that a predecessor may have started is accounted for.
     pub(crate) settled: bool,
-    /// What was told of members that older jobs wait for.
+    /// Logging of members that delay the start of older jobs.
     pub(crate) awaited: Awaited,
-    /// Workers as they were when what waits was looked at last.
+    /// Which workers were closed when waiting steps were last reviewed.
     pub(crate) review: Review,
-    /// What waits for its start, and what was told of it.
+    /// Steps that wait for their start, and what has been logged about them.
     pub(crate) waits: Waits,
-    /// What the platform was asked about workers that may be gone.
+    /// Requests to the platform for its list of machines.
     pub(crate) listing: Listing,
-    /// What had just started at workers that crashed, where it was several tasks.
+    /// Groups of several tasks that had just started at a worker when it crashed.
     pub(crate) suspect_groups: Vec<Vec<Task>>,
     /// Waves of maintenance.
     pub(crate) upkeep: Upkeep,
     /// Availability zones in which nothing starts.
     pub(crate) evacuated: Evacuated,
+    /// Id of the next unit of runs that stop together.
     pub(crate) next_unit: u64,
-    /// The next time of day at which time alone changes what may start.
+    /// The next time of day at which the passage of time alone may let work start.
     pub(crate) replan_at: Option<u64>,
+    /// Actions for the caller to carry out.
     pub(crate) outputs: Vec<Output>,
 }
 
-/// Time between two looks at all agents, in milliseconds: time passes for an owner with
-/// each report, and 160 agents made 600 looks a second, each at all agents and runs. What
-/// they find is due after 50 ms at the soonest.
-const LOOK: u64 = 20;
+/// Time between two checks of all agents. The owner ticks with each report, and 160 agents
+/// cause 600 ticks a second, while each check goes through all agents and runs. The shortest
+/// timeout that is checked is 50 ms.
+const AGENT_CHECK_INTERVAL_MS: u64 = 20;
 
-/// An owner cannot have been replaced within this time after it sent a write of its row that
-/// took effect, in milliseconds; a margin is left for clocks that run apart.
-const SURE: u64 = SOONEST - 200;
+/// An owner cannot have been replaced within this time after it sent a successful write of its
+/// row. The 200 ms below the earliest takeover allow for clock drift.
+const OWNERSHIP_GUARANTEE_MS: u64 = SOONEST - 200;
 
 impl Owner {
-    /// An owner under `epoch`, claimed when the table was at `version`.
+    /// Creates an owner that claimed `epoch` when the table was at `version`.
     pub fn new(settings: Settings, epoch: u64, version: u64, now: u64) -> Owner {
         Owner {
             settings,
@@ -147,17 +158,17 @@
         }
     }
 
-    /// Takes what is to be done.
+    /// Removes and returns the actions that the caller must carry out, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// The owner's epoch.
+    /// Returns the epoch under which this entry owns.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The configuration in force changed.
+    /// Applies a configuration unless a newer one is in force already.
     pub fn configure(&mut self, config: &Config) {
         if config.version > self.config.version {
             self.config = config.clone();
@@ -165,37 +176,40 @@
         }
     }
 
-    /// The bounds changed. What was granted before keeps its own lease.
+    /// Replaces the settings. The lease never becomes shorter, since leases granted earlier
+    /// still run for their full length.
     pub fn update_settings(&mut self, settings: Settings) {
         let lease = settings.lease.max(self.settings.lease);
         self.settings = Settings { lease, ..settings };
     }
 
-    /// No former owner grants leases any more. One that may live on, cut off, is
-    /// waited for until most agents follow this one, or for as long as it may grant
-    /// by itself: 14.2 s before older jobs start where all processes were killed and
-    /// half of the workers are gone, instead of a lease of 6.2 s.
+    /// Records that no predecessor can grant leases any more.
+    ///
+    /// A predecessor that may still run, cut off by the network, must be waited for until a
+    /// majority of agents follows this owner, or for as long as it may grant leases without the
+    /// table. Where all processes were killed and half of the workers are lost, that delays
+    /// older jobs by 14.2 s instead of a lease of 6.2 s.
     pub fn predecessor_ended(&mut self) {
         self.majority_since = Some(self.claimed_at);
         self.predecessor_ended = true;
     }
 
-    /// True once nothing that a former owner started can be unknown any more.
+    /// Returns whether every run that a predecessor may have started is accounted for.
     pub fn is_settled(&self) -> bool {
         self.settled
     }
 
-    /// Run times as a former owner had learned them.
+    /// Loads the run times that a predecessor recorded.
     pub fn restore_times(&mut self, times: &Times) {
         self.times = times.clone();
     }
 
-    /// A job's row was read: accepted just now, or found at a takeover.
+    /// Adds a job whose row was read: it was just accepted, or was found at a takeover.
     ///
-    /// A row may be told again, with progress that is long out of date: all rows
-    /// are read anew when the table forgets its history, and the answer may be
-    /// older than this owner's last record. A job that ended meanwhile must not
-    /// begin anew.
+    /// The same row may be passed in again with outdated progress: all rows are read again when
+    /// the table has discarded its history, and that read may be older than this owner's last
+    /// record. A job that has ended in the meantime must not be started again, so known jobs
+    /// are ignored.
     pub fn add_job(&mut self, id: &str, job: Job, version: u64, progress: Option<Progress>) {
         let known = self.jobs.contains_key(id)
             || self.ended_jobs.contains(id)
@@ -230,26 +244,26 @@
         }
     }
 
-    /// All jobs up to this version of the table have been taken in.
+    /// Records that all jobs up to this version of the table have been added.
     pub fn jobs_loaded(&mut self, version: u64) {
         self.loaded_version = version;
     }
 
-    /// The rows of jobs that ended long ago were dropped.
+    /// Forgets ended jobs whose rows were deleted from the table.
     pub fn remove_ended_jobs(&mut self, ids: &[Id]) {
         for id in ids {
             self.ended_jobs.remove(id);
         }
     }
 
-    /// Forgets an ended job but for its name.
+    /// Drops the state of an ended job and keeps its id, so that its row is not loaded again.
     pub(crate) fn close_job(&mut self, id: &str) {
         if self.jobs.remove(id).is_some() {
             self.ended_jobs.insert(id.to_owned());
         }
     }
 
-    /// A job's checkpoints as they were recorded.
+    /// Loads a job's recorded checkpoints. Checkpoints that workers have reported since are kept.
     pub fn restore_checkpoints(&mut self, id: &str, saved: &Saved) {
         if let Some(entry) = self.jobs.get_mut(id) {
             for (key, checkpoint) in saved.tasks() {
@@ -258,28 +272,30 @@
         }
     }
 
-    /// A job was cancelled.
+    /// Ends a job as cancelled and stops its runs.
     pub fn cancel(&mut self, id: &str, now: u64) {
         self.end_job(id, State::Cancelled, now);
     }
 
-    /// The table confirmed the ownership by a call that was sent at `sent`.
+    /// Records that the table confirmed the ownership in answer to a request sent at `sent`.
     pub fn confirm_ownership(&mut self, sent: u64) {
         self.confirmed_at = self.confirmed_at.max(sent);
     }
 
-    /// True if no other entry can own yet: each waits for longer than this after the last write
-    /// of the owner's row that it has seen, and claims only over that very row.
+    /// Returns whether no other entry can have taken over yet. Every candidate waits for a fixed
+    /// minimum time after the last write of the owner's row that it has seen, and its claim
+    /// succeeds only if that row is unchanged.
     pub fn holds_ownership(&self, now: u64) -> bool {
-        now < self.renewed_at + SURE
+        now < self.renewed_at + OWNERSHIP_GUARANTEE_MS
     }
 
-    /// A write of the owner's row that was sent at `sent` took effect, and not an earlier try of it.
+    /// Records that a write of the owner's row sent at `sent` succeeded. An earlier attempt of
+    /// the same write must not count, as its effect may be older than `sent`.
     pub fn renew_ownership(&mut self, sent: u64) {
         self.renewed_at = self.renewed_at.max(sent);
     }
 
-    /// An agent told something.
+    /// Handles a notice from the agent on `link`. Notices on unknown connections are ignored.
     pub fn on_notice(&mut self, link: LinkId, notice: Notice, now: u64) {
         let Some(name) = self.links.get(&link).cloned() else { return };
         if let Some(agent) = self.agents.get_mut(&name) {
@@ -300,7 +316,7 @@
             Notice::Started { task, run } => self.started(&task, run, now),
             Notice::Unstarted { task, run, why } => self.unstarted(&name, &task, run, why, now),
             Notice::Stopped { task, run } => self.stopped(&task, run),
-            // Not an agent's: jobs reach the owner as rows of the table.
+            // Agents do not send this one, and jobs reach the owner as rows of the table.
             Notice::Entry(_) => {}
         }
         if let Some(agent) = self.agents.get_mut(&name) {
@@ -308,10 +324,10 @@
         }
     }
 
-    /// Time passed: takes lapsed leases for lapsed, and decides what starts.
+    /// Expires leases and timeouts, starts what may start, and logs what waits.
     pub fn tick(&mut self, now: u64, wall: u64) {
         self.now = now;
-        if now >= self.agents_checked_at + LOOK {
+        if now >= self.agents_checked_at + AGENT_CHECK_INTERVAL_MS {
             self.agents_checked_at = now;
             self.check_agents(now);
         }
@@ -320,14 +336,14 @@
         if !self.settled && self.check_settled(now) {
             self.settled = true;
             self.replan = true;
-            let waited = list(self.unreconciled_agents().map(str::to_owned).collect());
-            let detail = format!("{} ms; not heard: {waited}", now - self.claimed_at);
+            let missing = list(self.unreconciled_agents().map(str::to_owned).collect());
+            let detail = format!("{} ms; not heard: {missing}", now - self.claimed_at);
             self.log("settled", "", detail);
         }
         self.ask_for_list(now);
         self.maintain(now, wall);
-        // A job whose room did not become free would stand still beside idle workers
-        // until something else happens.
+        // Without this, a job whose reserved room did not become free would wait next to idle
+        // workers until some other event caused a plan.
         self.replan |= self.reservation_ends_at.take_if(|at| *at <= now).is_some();
         let due = self.replan_at.is_some_and(|due| due <= wall);
         if due || self.advice_retry_at.take_if(|at| *at <= now).is_some() {
@@ -340,7 +356,7 @@
         self.log_waits(now, wall);
     }
 
-    /// Takes note of what time alone changes at agents.
+    /// Checks all timeouts that concern agents and their runs.
     fn check_agents(&mut self, now: u64) {
         for agent in self.agents.values_mut() {
             agent.update_liveness(&self.settings, now);
@@ -351,18 +367,19 @@
         self.look_at_evacuated(now);
     }
 
-    /// True if the owner knows that the job has ended, recorded or not.
+    /// Returns whether the job has ended, even if that is not recorded in the table yet.
     pub fn has_ended(&self, id: &str) -> bool {
-        let over = || self.ended_jobs.contains(id);
-        self.jobs.get(id).map_or_else(over, |entry| entry.progress.state.ended())
+        let closed = || self.ended_jobs.contains(id);
+        self.jobs.get(id).map_or_else(closed, |entry| entry.progress.state.ended())
     }
 
-    /// Number of jobs that have not ended.
+    /// Returns the number of jobs in memory: those that have not ended, and those whose last
+    /// runs or whose record are still pending.
     pub fn active_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Ends a job: whatever runs is stopped.
+    /// Ends a job with this final state and stops its runs.
     pub(crate) fn end_job(&mut self, id: &str, state: State, now: u64) {
         let Some(entry) = self.jobs.get_mut(id) else { return };
         if entry.progress.state.ended() {
@@ -378,8 +395,8 @@
         self.log_job_end(id, state);
     }
 
-    /// Tells how a job ended, and what its objective was by what is known of its run
-    /// times now: from that line and `accepted` follows whether it was late.
+    /// Logs how a job ended, and its objective going by the run times known now. This line and
+    /// the job's `accepted` line together show whether the job was late.
     pub(crate) fn log_job_end(&mut self, id: &str, state: State) {
         let Some(entry) = self.jobs.get(id) else { return };
         let pools = self.pools();
@@ -394,7 +411,7 @@
         self.log("job ended", id, detail);
     }
 
-    /// Orders the stop of a run.
+    /// Orders a run's worker to stop it, unless a stop was ordered before.
     pub(crate) fn stop_run(&mut self, id: &str, key: Key, now: u64) {
         let Some(placed) = self.jobs.get_mut(id).and_then(|entry| entry.runs.get_mut(&key)) else {
             return;
@@ -408,7 +425,8 @@
         self.send_to_agent(&name, Order::Stop { worker, task: task(id, key), run });
     }
 
-    /// Takes a run for gone.
+    /// Removes a run that no longer exists, and marks its ended job for a record if this was
+    /// the last one.
     pub(crate) fn remove_run(&mut self, id: &str, key: Key) {
         if let Some(entry) = self.jobs.get_mut(id) {
             entry.runs.remove(&key);
@@ -419,6 +437,7 @@
         }
     }
 
+    /// Returns the runs of all jobs for which `wanted` returns true.
     pub(crate) fn runs_where(&self, wanted: impl Fn(&Placement) -> bool) -> Vec<(Id, Key)> {
         let runs = self
             .jobs
@@ -427,12 +446,13 @@
         runs.filter(|(_, _, placed)| wanted(placed)).map(|(id, key, _)| (id.clone(), key)).collect()
     }
 
-    /// Marks a job's progress for the next record.
+    /// Marks a job's progress for the next record; `urgent` if clients wait for the change.
     pub(crate) fn mark_dirty(&mut self, id: &str, urgent: bool) {
         self.dirty.insert(id.to_owned());
         self.dirty_urgent |= urgent;
     }
 
+    /// Sends an order to an agent. It is dropped if the agent is not connected.
     pub(crate) fn send_to_agent(&mut self, agent: &str, order: Order) {
         if let Some(link) = self.agents.get(agent).and_then(|agent| agent.link) {
             self.send(link, order);
@@ -448,7 +468,7 @@
     }
 }
 
-/// The name of a task.
+/// Returns the id of a task of job `id`.
 pub(crate) fn task(id: &str, (occurrence, step, index): Key) -> Task {
     Task { job: id.to_owned(), occurrence, step, index }
 }
