--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -7,80 +7,84 @@
 use crate::settings::Settings;
 use crate::suspects::Crash;
 
-/// What the owner knows of one agent and its worker.
+/// The owner's state of one agent and its worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Agent {
-    /// The open connection.
+    /// The open connection to the agent.
     pub link: Option<LinkId>,
-    /// When the owner first knew of it.
+    /// When the owner first learned of the agent.
     pub joined_at: u64,
-    /// When the agent last told anything.
+    /// When the last notice from the agent arrived.
     pub last_notice_at: u64,
-    /// The worker, if the agent knows it.
+    /// The worker, if the agent has one.
     pub worker: Option<Worker>,
-    /// Nothing of a former owner can be unknown there: the worker answered
-    /// under this owner's epoch, or it is known to have left.
+    /// Whether every run there that a predecessor may have started is accounted for: the
+    /// worker has answered under this owner's epoch, or is known to have ended.
     pub reconciled: bool,
-    /// The worker answered under this owner's epoch.
+    /// Whether the worker has answered under this owner's epoch on the open connection.
     pub fenced: bool,
-    /// A former owner may have granted it leases.
+    /// Whether a predecessor may have granted leases through this agent.
     pub predecessor_leases: bool,
-    /// All leases that were granted through this agent have lapsed by then.
+    /// When the last lease granted through this agent expires.
     pub leases_expire_at: u64,
-    /// Since when the agent has known no worker; none while it knows one.
+    /// Since when the agent has had no worker; none while it has one.
     pub no_worker_since: Option<u64>,
-    /// Since when there has been no connection, or no worker, or one that has not
-    /// answered for a whole lease; none while there is a worker that answers.
+    /// Since when the agent has not been connected with a worker that responds within a lease;
+    /// none while it is.
     pub absent_since: Option<u64>,
-    /// Since when nothing has shown that the worker, which is known, lives: there is no
-    /// connection, or it took none, or it owes an answer; none while something does.
+    /// Since when the known worker has shown no sign of life: the agent is not connected, or
+    /// the worker has not answered under this epoch, or is late with an answer. None while it
+    /// responds.
     pub unresponsive_since: Option<u64>,
-    /// What speaks against its worker.
+    /// Failures of tasks that count against the worker.
     pub blame: Blame,
-    /// Starts just after which the worker broke its connections, if it has not answered
-    /// since: if it is gone, one of them has crashed it.
+    /// The starts just before the worker broke its connections, if it has not answered since.
+    /// Should the worker turn out to have ended, one of them has crashed it.
     pub crash: Option<Crash>,
-    /// Starts that its worker refused of late.
+    /// Starts that the worker has refused recently.
     pub refusals: Refusals,
-    /// Its worker said that it ends, and no other has reported since.
+    /// Whether the worker has ended, and no other has reported since.
     pub worker_left: bool,
-    /// Its row is being dropped: nothing new starts there.
+    /// Whether the agent's row is being deleted, so that nothing new starts there.
     pub removal_pending: bool,
-    /// Its machine goes down next: nothing new starts there.
+    /// Whether the machine is next in a wave of maintenance, so that nothing new starts there.
     pub cordoned: bool,
-    /// Operators evacuate its worker's availability zone: nothing new starts there.
+    /// Whether operators evacuate the worker's availability zone, so that nothing new starts
+    /// there.
     pub zone_evacuated: bool,
-    /// The platform was asked to take its machine down: all that runs there is
-    /// as good as gone.
+    /// Whether the platform was asked to take the machine down, so that all runs there are
+    /// about to be lost.
     pub shutdown_requested: bool,
-    /// For how long the worker has owed an answer.
+    /// For how long an answer of the worker has been overdue, in milliseconds.
     pub silent_ms: u64,
-    /// The runs that the worker listed last.
+    /// The runs that the worker listed in its last status.
     pub listed_runs: Vec<(Task, u64)>,
-    /// Those of them that nobody waits for: they are being stopped.
+    /// Listed runs that belong to no job's current state, and are being stopped.
     pub strays: Vec<Task>,
-    /// When it was last seen to that what should run there is listed.
+    /// When the owner last checked for runs that should be listed and are not.
     pub missing_checked_at: u64,
-    /// The last end that was taken note of.
+    /// Number of the last end that was processed.
     pub last_end: u64,
-    /// The last end that the worker was told to forget.
+    /// Number of the last end that was acknowledged to the worker, which then forgets it.
     pub acknowledged_end: u64,
-    /// The worker is the last choice until then.
+    /// Until when other workers are preferred because of failures or refusals here.
     pub doubted_until: u64,
-    /// The worker is slow until then, as it has just started, and the last choice.
+    /// Until when the worker is slow because it has just started, so that others are preferred.
     pub cold_until: u64,
-    /// Runs that failed there in a row.
+    /// Number of runs that failed there in a row.
     pub consecutive_failures: u32,
 }
 
 impl Agent {
-    /// Takes note of whether connection and worker are there, and the worker has
-    /// answered within a `lease`. An agent that lives does not make a member of a
-    /// worker that is gone: each later owner would wait for it.
+    /// Updates `unresponsive_since` and `absent_since`.
+    ///
+    /// An agent whose worker has not answered within a lease counts as absent even while the
+    /// agent itself responds. Otherwise it would stay a member although its worker has ended,
+    /// and each later owner would wait for it.
     pub fn update_liveness(&mut self, settings: &Settings, now: u64) {
         let lease = settings.lease + settings.margin;
-        let answers = self.link.is_some() && self.fenced && self.silent_ms < settings.overdue;
-        match answers || self.worker.is_none() {
+        let responds = self.link.is_some() && self.fenced && self.silent_ms < settings.overdue;
+        match responds || self.worker.is_none() {
             true => self.unresponsive_since = None,
             false => {
                 self.unresponsive_since.get_or_insert(now);
@@ -95,32 +99,34 @@
         }
     }
 
-    /// True if nothing that a former owner started can still run there. It
-    /// granted nothing after `last`, this owner nothing that has not lapsed, and
-    /// the agent renewed nothing that its worker has not answered to for a `lease`.
+    /// Returns whether no run that a predecessor started can still exist there unknown to this
+    /// owner, given that predecessors granted their last leases at `last`.
+    ///
+    /// Without a reconciled worker, this requires that all leases have expired: those of the
+    /// predecessors, those that this owner granted, and those that the agent may have renewed
+    /// at a worker that has not answered for a whole `lease`.
     ///
-    /// Only what proves that something may still run puts this off: a lease, or an
-    /// answer to a look. Signs of life that prove nothing (an agent without a
-    /// worker that asks for leases, a connection made anew, a look that is refused)
-    /// once did, and jobs accepted before a restart never started again.
+    /// Only evidence that something may still run may delay this: a lease, or the worker's answer
+    /// to a poll. Other signs of life must not (an agent without a worker that asks for leases,
+    /// a new connection, a refused poll), or jobs accepted before a restart never start again.
     pub fn is_clear_of_predecessors(&self, last: u64, lease: u64, now: u64) -> bool {
-        let lapsed = now >= last + lease;
+        let expired = now >= last + lease;
         match (&self.worker, self.link) {
             _ if self.reconciled || !self.predecessor_leases => true,
-            (None, _) => lapsed,
+            (None, _) => expired,
             (Some(_), Some(_)) => self.silent_ms >= lease,
-            (Some(_), None) => lapsed && now >= self.leases_expire_at,
+            (Some(_), None) => expired && now >= self.leases_expire_at,
         }
     }
 
-    /// True if a start that is ordered now finds a lease there. An agent refuses a
-    /// start with less than a fourth of one, and an owner that granted none but went
-    /// on ordering would be refused hundreds of times a second.
+    /// Returns whether a start that is ordered now will find a valid lease there. An agent
+    /// refuses a start when less than a fourth of its lease is left; an owner that did not check
+    /// this while it grants no leases would be refused hundreds of times a second.
     pub fn has_lease(&self, settings: &Settings, now: u64) -> bool {
         now + settings.lease / 4 + settings.margin < self.leases_expire_at
     }
 
-    /// True if runs may start there.
+    /// Returns whether runs may start there.
     pub fn accepts_runs(&self, settings: &Settings, now: u64) -> bool {
         CloseReason::of(self, settings, now).is_none()
     }
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -1,4 +1,4 @@
-//! What starts next, and what gives way to it.
+//! Planning: which waiting tasks start now, in which order, and on which workers.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,12 @@
 use crate::entry::{Entry, Phase, Placement};
 use crate::guide::Guide;
 use crate::owner::{Owner, task};
-use crate::snapshot::{Barred, Snapshot};
+use crate::snapshot::{Exclusions, Snapshot};
 use crate::suspects::{Fresh, one_by_one};
 
 impl Owner {
-    /// Decides what starts now.
+    /// Runs one round of planning: starts what fits in order of rank, makes room where that is
+    /// allowed, and records why the rest waits.
     pub(crate) fn plan(&mut self, now: u64, wall: u64) {
         for (id, entry) in &mut self.jobs {
             if entry.job.queue.priority == 0 {
@@ -24,26 +25,28 @@
             entry.idle_since = entry.runs.is_empty().then(|| entry.idle_since.unwrap_or(now));
         }
         let mut candidates = self.candidates(wall);
-        // Guaranteed work whose room is being made comes first: else what ranks before it would
-        // take that room, and both would be late in turn.
-        candidates.sort_by_key(|candidate| (!self.is_promised(candidate), candidate.rank));
+        // Guaranteed work whose room is being made comes first. Otherwise work that ranks
+        // before it would take that room, and both would be late in turn.
+        candidates
+            .sort_by_key(|candidate| (!self.has_reserved_guarantee(candidate), candidate.rank));
         let mut snapshot = self.snapshot(now);
         self.waits.begin();
         for candidate in &candidates {
-            self.serve(candidate, &mut snapshot, now, wall);
+            self.start_candidate(candidate, &mut snapshot, now, wall);
         }
-        // What waits for a suspect to outlive its start is decided by time alone.
+        // No event marks the moment at which a suspected task has survived its start.
         if snapshot.recent_starts.values().any(|fresh| *fresh == Fresh::Suspect) {
             self.schedule_replan(wall + APART);
         }
-        self.note_held_back(now, wall);
-        self.tell_waited(now);
+        self.record_held_back(now, wall);
+        self.log_ended_waits(now);
     }
 
-    /// Everything whose turn has come.
+    /// Returns the tasks that could start now, grouped by step, and sets `replan_at` to when the
+    /// next scheduled occurrence is due.
     fn candidates(&mut self, wall: u64) -> Vec<Candidate> {
         let (settled, now) = (self.settled, self.now);
-        let mut guarantees = self.guaranteed_use();
+        let mut guarantees = self.guaranteed_usage();
         let mut next_due: Option<u64> = None;
         let mut found = Vec::new();
         let pools = self.pools();
@@ -51,8 +54,8 @@
         let mut jobs: Vec<(&Id, &Entry)> = self.jobs.iter().collect();
         jobs.sort_by_key(|(_, entry)| entry.version);
         for (id, entry) in jobs {
-            // What a former owner may have started is known only once all
-            // agents were heard.
+            // Tasks of older jobs may run already, started by a predecessor. That is known only
+            // once all agents have reported.
             if entry.progress.state.ended() || (!settled && entry.version <= self.claim_version) {
                 continue;
             }
@@ -66,14 +69,14 @@
                 }
                 let goal = guide.goal(entry, occurrence);
                 for (number, step) in (0u32..).zip(&entry.job.steps) {
-                    let tasks = pending(entry, occurrence, number, step, id);
+                    let tasks = pending_tasks(entry, occurrence, number, step, id);
                     if tasks.is_empty() {
                         continue;
                     }
                     for group in one_by_one(id, entry, (occurrence, number), tasks, now) {
                         let need = step.need.accelerators * group.0.len() as u64;
-                        // One that has begun and gave way comes after those that have not: it
-                        // would take the room back that was made for them.
+                        // A job that was preempted for a guarantee is not covered by its own any
+                        // more: it would take back the room that was made for the other job.
                         let covered = entry.job.queue.priority == 0
                             && !entry.guarantee_preempted
                             && guarantees.cover(&entry.job.team, need);
@@ -95,14 +98,14 @@
         found
     }
 
-    /// True if room is being made for it that it is guaranteed.
-    fn is_promised(&self, candidate: &Candidate) -> bool {
+    /// Returns whether room is reserved for the candidate under its team's guarantee.
+    fn has_reserved_guarantee(&self, candidate: &Candidate) -> bool {
         let place = (candidate.occurrence, candidate.step);
         let entry = self.jobs.get(&candidate.id);
         candidate.guaranteed() && entry.is_some_and(|entry| entry.reservations.contains_key(&place))
     }
 
-    /// What the workers of each pool have in all.
+    /// Returns the total capacity of the workers of each pool.
     pub(crate) fn pools(&self) -> BTreeMap<String, Need> {
         let mut pools: BTreeMap<String, Need> = BTreeMap::new();
         for worker in self.agents.values().filter_map(|agent| agent.worker.as_ref()) {
@@ -111,11 +114,12 @@
         pools
     }
 
-    /// True once nothing that a former owner started can be unknown: each agent
-    /// was heard, or what was granted to it has lapsed.
+    /// Returns whether every run that a predecessor may have started is accounted for: each
+    /// agent's worker is reconciled, or its leases have expired.
     ///
-    /// A former owner that does not know that it was replaced grants on while
-    /// it speaks to most agents, and misses them soon after most follow this owner.
+    /// A predecessor that does not know that it was replaced goes on granting leases while a
+    /// majority of agents is connected to it. So this also notes when a majority first follows
+    /// this owner, since the predecessor stops soon after.
     pub(crate) fn check_settled(&mut self, now: u64) -> bool {
         let heard = self.agents.values().filter(|agent| agent.reconciled).count();
         if self.majority_since.is_none() && heard * 2 >= self.agents.len() {
@@ -125,14 +129,15 @@
         self.agents.values().all(|agent| agent.is_clear_of_predecessors(last, lease, now))
     }
 
-    /// When a former owner granted its last lease at the latest, and how long
-    /// that holds.
+    /// Returns the latest time at which a predecessor may have granted a lease, and how long
+    /// that lease lasts, margin included.
     pub(crate) fn predecessor_grants(&self) -> (u64, u64) {
         let last = match self.majority_since {
             None => self.claimed_at + self.settings.autonomy,
             Some(_) if self.predecessor_ended => self.claimed_at,
-            // It grants to all until the table has not confirmed it for a while, and then
-            // for as long as it takes to miss the agents that follow this owner now.
+            // A predecessor grants leases to all agents until the table has not confirmed it
+            // for `unconfirmed`. After that it needs a majority of agents, and agents that
+            // follow this owner still count for it until their last notice is `fresh` old.
             Some(since) => {
                 (since + self.settings.fresh).max(self.claimed_at + self.settings.unconfirmed)
             }
@@ -140,13 +145,14 @@
         (last, self.settings.lease + self.settings.margin)
     }
 
-    /// Agents whose workers may still run what a former owner started.
+    /// Returns the agents whose workers may still run what a predecessor started.
     pub(crate) fn unreconciled_agents(&self) -> impl Iterator<Item = &str> {
         self.agents.iter().filter(|(_, agent)| !agent.reconciled).map(|(name, _)| name.as_str())
     }
 
-    /// Accelerators that each team's jobs of priority 0 hold.
-    fn guaranteed_use(&self) -> Guarantees<impl Fn(&str) -> u64> {
+    /// Returns the teams' guarantees, less the accelerators that each team's jobs of priority 0
+    /// use now.
+    fn guaranteed_usage(&self) -> Guarantees<impl Fn(&str) -> u64> {
         let mut guarantees = self.guarantees();
         for entry in self.jobs.values().filter(|entry| entry.job.queue.priority == 0) {
             for key in entry.runs.keys() {
@@ -157,12 +163,19 @@
         guarantees
     }
 
-    /// Starts what it can of one candidate, or makes room for it.
-    fn serve(&mut self, candidate: &Candidate, snapshot: &mut Snapshot, now: u64, wall: u64) {
+    /// Starts as many of a candidate's tasks as it can, makes room for the others if it may, and
+    /// records why they wait.
+    fn start_candidate(
+        &mut self,
+        candidate: &Candidate,
+        snapshot: &mut Snapshot,
+        now: u64,
+        wall: u64,
+    ) {
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let place = (candidate.occurrence, candidate.step);
         if let Some(reservation) = entry.reservations.get(&place).cloned() {
-            if self.redeem(candidate, &reservation, snapshot, now) {
+            if self.use_reservation(candidate, &reservation, snapshot, now) {
                 self.record_reserved_wait(candidate, now);
                 return;
             }
@@ -173,12 +186,12 @@
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let Some(step) = entry.job.steps.get(candidate.step as usize).cloned() else { return };
         let pool = self.pool_of(entry);
-        let barred = Barred {
+        let excluded = Exclusions {
             uncleared: self.uncleared(candidate, snapshot, now),
             avoided: self.avoided(candidate, snapshot, now),
             apart: self.kept_apart(candidate, snapshot),
         };
-        let places = barred.places();
+        let places = excluded.places();
         let spared = match candidate.suspect {
             true => self.try_suspect(candidate, (&step, &pool), (snapshot, &places), (now, wall)),
             false => {
@@ -188,39 +201,40 @@
         if self.unplaced_tasks(candidate) == 0 {
             return;
         }
-        if !barred.apart.is_empty() {
+        if !excluded.apart.is_empty() {
             self.schedule_replan(wall + APART);
         }
-        if !barred.uncleared.is_empty() {
-            self.ask(candidate, roomiest(&barred.uncleared, snapshot, &pool, &step.label), now);
+        if !excluded.uncleared.is_empty() {
+            self.ask(candidate, most_free(&excluded.uncleared, snapshot, &pool, &step.label), now);
         }
-        let bars = snapshot.bars(&spared, &barred);
-        self.record_wait(candidate, snapshot, &bars, now);
+        let restrictions = snapshot.restrictions(&spared, &excluded);
+        self.record_wait(candidate, snapshot, &restrictions, now);
     }
 
-    /// Starts what it can of one candidate on the workers at other places than these.
+    /// Starts as many of a candidate's tasks as it can on workers other than those at the
+    /// `barred` places. Returns the places that it leaves to other work.
     pub(crate) fn place_elsewhere(
         &mut self,
         candidate: &Candidate,
         (step, pool): (&Step, &str),
-        (snapshot, barred): (&mut Snapshot, &[usize]),
+        (snapshot, excluded): (&mut Snapshot, &[usize]),
         time: (u64, u64),
     ) -> Vec<usize> {
-        let hidden = snapshot.hide(barred);
+        let hidden = snapshot.hide(excluded);
         let spared = self.place(candidate, step, pool, snapshot, time);
         snapshot.show(hidden);
         spared
     }
 
-    /// Tasks of it that have no place yet.
+    /// Returns the number of the candidate's tasks that have not been placed.
     pub(crate) fn unplaced_tasks(&self, candidate: &Candidate) -> usize {
         let Some(entry) = self.jobs.get(&candidate.id) else { return 0 };
         let key = |index: u32| (candidate.occurrence, candidate.step, index);
         candidate.tasks.iter().filter(|&&index| !entry.runs.contains_key(&key(index))).count()
     }
 
-    /// The places whose workers the step is not cleared for; none on a queue
-    /// that needs no clearance.
+    /// Returns the places whose workers the step is not cleared for. Empty on a queue that needs
+    /// no clearance.
     fn uncleared(&self, candidate: &Candidate, snapshot: &Snapshot, now: u64) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
         if entry.job.queue.advice.is_none() {
@@ -232,8 +246,8 @@
         places.filter(|(_, spot)| !cleared(spot)).map(|(place, _)| place).collect()
     }
 
-    /// Starts what it can of one candidate on the workers that are not hidden,
-    /// or makes room for it there. Returns the places that it leaves to others.
+    /// Starts as many of a candidate's tasks as it can on the workers that are not hidden, and
+    /// makes room for the others there if it may. Returns the places that it leaves to other work.
     fn place(
         &mut self,
         candidate: &Candidate,
@@ -243,28 +257,28 @@
         (now, wall): (u64, u64),
     ) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
-        let held = held(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
+        let held = tasks_per_worker(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
         let count = candidate.tasks.len() as u32;
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
-        let patient = wall < begin + PATIENCE;
+        let patient = wall < begin + SINGLE_RACK_WAIT_MS;
         let ask = Ask { step, pool, count, patient, over: Hold::Lower, sure: false, held: &held };
-        let waits_until =
-            self.waits_until(candidate, is_half_free(&snapshot.spots, pool), (now, wall));
-        let spared = waits_until.map(|_| spare(&mut snapshot.spots, pool)).unwrap_or_default();
+        let deferred_until =
+            self.deferred_until(candidate, is_half_free(&snapshot.spots, pool), (now, wall));
+        let spared = deferred_until.map(|_| spare(&mut snapshot.spots, pool)).unwrap_or_default();
         let choices = pack(&snapshot.spots, &ask);
         let spared = unspare(&mut snapshot.spots, spared);
         let started = choices.len();
         if started < candidate.tasks.len() {
-            // Time alone gives it places that it leaves to others now.
-            let patience = Some(begin + PATIENCE).filter(|_| patient);
-            for at in [waits_until, patience].into_iter().flatten() {
+            // At these times the candidate may use places that it leaves to other work now.
+            let patience = Some(begin + SINGLE_RACK_WAIT_MS).filter(|_| patient);
+            for at in [deferred_until, patience].into_iter().flatten() {
                 self.schedule_replan(at);
             }
         }
         let pairs: Vec<(u32, usize)> =
             candidate.tasks.iter().copied().zip(choices.iter().copied()).collect();
         self.start_tasks(candidate, step, &pairs, snapshot, now);
-        // Nobody gives way to what may crash the worker that is cleared for it.
+        // Nothing is stopped for a task that may crash the worker that it is given.
         let takes = candidate.rank.takes_room() && !candidate.suspect;
         if takes && started < candidate.tasks.len() {
             self.make_room(candidate, step, pool, started, snapshot, (now, wall));
@@ -272,14 +286,13 @@
         spared
     }
 
-    /// Until when the candidate leaves whole workers to work that has less time,
-    /// in milliseconds since 1970; none if it does not.
+    /// Returns until when the candidate leaves whole workers to more urgent work, in milliseconds
+    /// since 1970; none if it may use them now.
     ///
-    /// A job of which nothing runs does so only for a short while where much of
-    /// the pool is free: urgent work finds room there anyway, and a job that
-    /// stood still beside idle workers until its time pressed would not be
-    /// understood.
-    fn waits_until(
+    /// While half of the pool is free, a job of which nothing runs defers for
+    /// [`MAX_IDLE_DEFERRAL_MS`] at most. Urgent work finds room there anyway, and users would
+    /// not understand a job that waits next to idle workers until its deadline is near.
+    fn deferred_until(
         &self,
         candidate: &Candidate,
         half_free: bool,
@@ -288,24 +301,25 @@
         let until = candidate.rank.waits_until().filter(|&until| until > wall)?;
         let idle = self.jobs.get(&candidate.id).and_then(|entry| entry.idle_since);
         match idle.filter(|_| half_free) {
-            Some(since) if now >= since + IDLE => None,
-            Some(since) => Some(until.min(wall + since + IDLE - now)),
+            Some(since) if now >= since + MAX_IDLE_DEFERRAL_MS => None,
+            Some(since) => Some(until.min(wall + since + MAX_IDLE_DEFERRAL_MS - now)),
             None => Some(until),
         }
     }
 
-    /// Sees to it that the next round is no later than this time of day.
+    /// Ensures that the next round of planning is no later than `at`, a time of day.
     pub(crate) fn schedule_replan(&mut self, at: u64) {
         self.replan_at = Some(self.replan_at.map_or(at, |due| due.min(at)));
     }
 
-    /// The pool that runs a job now: a configuration may have moved its queue.
+    /// Returns the pool that runs a job under the present configuration, which may differ from the
+    /// one at its submission.
     pub(crate) fn pool_of(&self, entry: &Entry) -> String {
         let queue = self.config.queues.get(&entry.job.queue.name);
         queue.unwrap_or(&entry.job.queue).pool.clone()
     }
 
-    /// Orders the start of tasks on the chosen workers.
+    /// Orders the start of tasks on the chosen workers. `pairs` holds task indexes and places.
     pub(crate) fn start_tasks(
         &mut self,
         candidate: &Candidate,
@@ -372,13 +386,13 @@
     }
 }
 
-/// Numbers of runs that each epoch has for one task. An owner numbers runs
-/// from its epoch on, so that they rise over a takeover without a record of
-/// each start; no task starts so often under one owner.
+/// Run numbers available to each epoch for one task. An owner numbers runs from a base derived
+/// from its epoch, so that they increase across takeovers without a record of each start. No task
+/// starts this often under one owner.
 const RUNS_PER_EPOCH: u64 = 1000;
 
-/// The tasks of a step that wait for a place: all of a gang or none.
-pub(crate) fn pending(
+/// Returns the tasks of a step that are ready and have no run: of a gang all or none.
+pub(crate) fn pending_tasks(
     entry: &Entry,
     occurrence: u32,
     number: u32,
@@ -399,9 +413,14 @@
     (0..step.count).filter(open).collect()
 }
 
-/// The workers at these places that could run a step, those with the most room
-/// first.
-fn roomiest(places: &[usize], snapshot: &Snapshot, pool: &str, label: &String) -> Vec<Incarnation> {
+/// Returns the workers at these places that could run a step, those with the most free
+/// accelerators first.
+fn most_free(
+    places: &[usize],
+    snapshot: &Snapshot,
+    pool: &str,
+    label: &String,
+) -> Vec<Incarnation> {
     let fits =
         |spot: &&Spot| spot.pool == pool && (label.is_empty() || spot.labels.contains(label));
     let mut spots: Vec<&Spot> =
@@ -410,8 +429,12 @@
     spots.into_iter().map(|spot| spot.worker.clone()).collect()
 }
 
-/// Tasks of the step that each worker has.
-pub(crate) fn held(entry: &Entry, (occurrence, step): (u32, u32), spots: &[Spot]) -> Vec<u32> {
+/// Returns how many tasks of the step each worker runs, in the order of `spots`.
+pub(crate) fn tasks_per_worker(
+    entry: &Entry,
+    (occurrence, step): (u32, u32),
+    spots: &[Spot],
+) -> Vec<u32> {
     let range = (occurrence, step, 0)..=(occurrence, step, u32::MAX);
     let mut held = vec![0; spots.len()];
     for (_, placed) in entry.runs.range(range) {
@@ -422,11 +445,10 @@
     held
 }
 
-/// A job of which nothing runs leaves whole workers to urgent work for so many
-/// milliseconds while half of the pool is free.
-const IDLE: u64 = 1500;
+/// How long a job of which nothing runs leaves whole workers to urgent work while half of the
+/// pool is free.
+const MAX_IDLE_DEFERRAL_MS: u64 = 1500;
 
-/// A gang that wants one rack waits for it for so many milliseconds while half
-/// of the pool is free. A stop takes up to 900, so room that is made for it
-/// comes sooner.
-const PATIENCE: u64 = 2000;
+/// How long a gang that prefers a single rack waits for one while half of the pool is free. A
+/// stop takes up to 900 ms, so room that is made for the gang becomes free sooner.
+const SINGLE_RACK_WAIT_MS: u64 = 2000;
--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -6,7 +6,7 @@
 use crate::cause::Cause;
 use crate::close_reason::CloseReason;
 use crate::owner::Owner;
-use crate::tally::Bar;
+use crate::tally::Restriction;
 
 /// Time between two looks, in milliseconds: a line comes no sooner than that
 /// after the one before.
@@ -41,9 +41,9 @@
             return;
         }
         let snapshot = self.snapshot(now);
-        let bars = vec![Bar::Open; snapshot.spots.len()];
+        let restrictions = vec![Restriction::None; snapshot.spots.len()];
         for (group, wait) in waits {
-            let found = self.cause(&group, wait.tasks, &snapshot.spots, &bars);
+            let found = self.cause(&group, wait.tasks, &snapshot.spots, &restrictions);
             let changed = |cause: &Cause| cause.is_lack() || wait.cause.is_lack();
             if let Some((cause, room)) = found.filter(|(cause, _)| changed(cause)) {
                 self.waits.note(group, (wait.tasks, cause), room, now);
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -9,13 +9,13 @@
 use crate::candidate::Candidate;
 use crate::entry::Reservation;
 use crate::owner::Owner;
-use crate::plan::held;
+use crate::plan::tasks_per_worker;
 use crate::snapshot::Snapshot;
 use crate::suspects::Fresh;
 
 impl Owner {
     /// Starts a step on the room that was kept for it. False if that is void.
-    pub(crate) fn redeem(
+    pub(crate) fn use_reservation(
         &mut self,
         candidate: &Candidate,
         reservation: &Reservation,
@@ -43,7 +43,7 @@
             |name: &String| self.agents.get(name).is_some_and(|agent| agent.refusals.until > 0);
         let trial = |place: &usize| snapshot.recent_starts.get(place) == Some(&Fresh::Suspect);
         if now < until && (reservation.agents.iter().any(paused) || places.iter().any(trial)) {
-            self.keep_until(until);
+            self.track_reservation_end(until);
             return true;
         }
         let valid =
@@ -68,7 +68,7 @@
             // Else somebody who comes first took the room.
             if promised {
                 snapshot.spots = spots;
-                self.keep_until(until);
+                self.track_reservation_end(until);
             }
             return promised;
         }
@@ -81,7 +81,7 @@
     }
 
     /// Sees to it that the next round is no later than the end of a reservation.
-    fn keep_until(&mut self, until: u64) {
+    fn track_reservation_end(&mut self, until: u64) {
         self.reservation_ends_at =
             Some(self.reservation_ends_at.map_or(until, |known| known.min(until)));
     }
@@ -98,7 +98,7 @@
     ) {
         let rest = &candidate.tasks[started..];
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
-        let held = held(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
+        let held = tasks_per_worker(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
         let promised = promised(begin, self.settings.reclaim, self.settings.stop);
         let guaranteed = candidate.guaranteed();
@@ -139,7 +139,7 @@
         let agents =
             claim.choices.iter().map(|&place| snapshot.spots[place].name.clone()).collect();
         let reservation = Reservation { agents, made_at: now };
-        self.keep_until(now + self.settings.reservation);
+        self.track_reservation_end(now + self.settings.reservation);
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
             entry.reservations.insert((candidate.occurrence, candidate.step), reservation);
         }
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -13,9 +13,9 @@
 use crate::cause::Cause;
 use crate::entry::Entry;
 use crate::owner::Owner;
-use crate::plan::{held, pending};
+use crate::plan::{pending_tasks, tasks_per_worker};
 use crate::snapshot::Snapshot;
-use crate::tally::{Bar, Tally};
+use crate::tally::{Restriction, Tally};
 use crate::waits::Group;
 
 impl Owner {
@@ -41,12 +41,12 @@
     }
 
     /// Takes note of what keeps tasks of a candidate from starting, if any still
-    /// wait. `bars` are those of the snapshot's workers.
+    /// wait. `restrictions` are those of the snapshot's workers.
     pub(crate) fn record_wait(
         &mut self,
         candidate: &Candidate,
         snapshot: &Snapshot,
-        bars: &[Bar],
+        limits: &[Restriction],
         now: u64,
     ) {
         let left = self.unplaced_tasks(candidate);
@@ -54,7 +54,7 @@
             return;
         }
         let key = group(candidate);
-        let Some((cause, room)) = self.cause(&key, left, &snapshot.spots, bars) else { return };
+        let Some((cause, room)) = self.cause(&key, left, &snapshot.spots, limits) else { return };
         self.waits.note(key, (left, cause), room, now);
     }
 
@@ -65,18 +65,18 @@
         (id, occurrence, number): &Group,
         tasks: usize,
         spots: &[Spot],
-        bars: &[Bar],
+        restrictions: &[Restriction],
     ) -> Option<(Cause, (u64, u64))> {
         let entry = self.jobs.get(id)?;
         let step = entry.job.steps.get(*number as usize)?;
         let pool = &self.pool_of(entry);
         let held = match entry.has_runs(*occurrence, *number) {
-            true => &held(entry, (*occurrence, *number), spots)[..],
+            true => &tasks_per_worker(entry, (*occurrence, *number), spots)[..],
             false => &[],
         };
         let count = tasks as u32;
         let ask = Ask { step, pool, count, patient: true, over: Hold::Lower, sure: false, held };
-        let tally = Tally::open(spots, bars, &ask);
+        let tally = Tally::open(spots, restrictions, &ask);
         let unconfigured = entry.job.queue.priority == 0 && self.config.version == 0;
         let cause = match tally.cause() {
             Cause::Few => self.closed(&ask, &tally),
@@ -87,14 +87,14 @@
     }
 
     /// Takes note of steps that are no candidates, though their turn has come.
-    pub(crate) fn note_held_back(&mut self, now: u64, wall: u64) {
+    pub(crate) fn record_held_back(&mut self, now: u64, wall: u64) {
         for (group, wait) in self.held_back(wall) {
             self.waits.note(group, wait, (0, 0), now);
         }
     }
 
     /// Tells what had waited, and for what, once it waits no more.
-    pub(crate) fn tell_waited(&mut self, now: u64) {
+    pub(crate) fn log_ended_waits(&mut self, now: u64) {
         for (group, wait) in self.waits.end(now) {
             let (id, occurrence, step) = &group;
             let begun = |entry: &Entry| entry.has_runs(*occurrence, *step);
@@ -155,7 +155,7 @@
             for (occurrence, number, step) in due_steps(entry, wall) {
                 let wait = match older {
                     true => {
-                        let open = pending(entry, occurrence, number, step, id);
+                        let open = pending_tasks(entry, occurrence, number, step, id);
                         (open.len(), Cause::Unsettled)
                     }
                     false => (remains(entry, occurrence, number, step), Cause::Remains),
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -11,7 +11,7 @@
 use crate::owner::Owner;
 use crate::reports::key;
 use crate::suspects::Fresh;
-use crate::tally::Bar;
+use crate::tally::Restriction;
 
 /// Workers, what is free on them, and what could be taken away.
 pub(crate) struct Snapshot {
@@ -27,7 +27,7 @@
 
 /// Places that a step leaves free, by why.
 #[derive(Debug, Default)]
-pub(crate) struct Barred {
+pub(crate) struct Exclusions {
     /// It is not cleared for the workers.
     pub uncleared: Vec<usize>,
     /// Its tasks failed there.
@@ -36,7 +36,7 @@
     pub apart: Vec<usize>,
 }
 
-impl Barred {
+impl Exclusions {
     /// All of them.
     pub fn places(&self) -> Vec<usize> {
         let mut places = [&self.uncleared[..], &self.avoided, &self.apart].concat();
@@ -71,22 +71,22 @@
         places
     }
 
-    /// What bars a step from each place; empty if nothing does anywhere.
-    pub fn bars(&self, spared: &[usize], barred: &Barred) -> Vec<Bar> {
+    /// What restrictions a step from each place; empty if nothing does anywhere.
+    pub fn restrictions(&self, spared: &[usize], excluded: &Exclusions) -> Vec<Restriction> {
         let kinds = [
-            (spared, Bar::Spared),
-            (&barred.uncleared, Bar::Uncleared),
-            (&barred.avoided, Bar::Avoided),
-            (&barred.apart, Bar::Apart),
+            (spared, Restriction::Spared),
+            (&excluded.uncleared, Restriction::Uncleared),
+            (&excluded.avoided, Restriction::Avoided),
+            (&excluded.apart, Restriction::Apart),
         ];
         if kinds.iter().all(|(places, _)| places.is_empty()) {
             return Vec::new();
         }
-        let mut bars = vec![Bar::Open; self.spots.len()];
-        for (places, bar) in kinds {
-            places.iter().for_each(|&place| bars[place] = bar);
+        let mut restrictions = vec![Restriction::None; self.spots.len()];
+        for (places, restriction) in kinds {
+            places.iter().for_each(|&place| restrictions[place] = restriction);
         }
-        bars
+        restrictions
     }
 }
 
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -6,15 +6,15 @@
 
 /// What is kept from a step at a place although it is free.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) enum Bar {
-    Open,
+pub(crate) enum Restriction {
+    None,
     Spared,
     Uncleared,
     Avoided,
     Apart,
 }
 
-/// Room for tasks of one step, by what bars the step from it.
+/// Room for tasks of one step, by what restrictions the step from it.
 #[derive(Debug, Default)]
 pub(crate) struct Tally<'a> {
     /// Filled only for a gang that wants one rack.
@@ -27,24 +27,24 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
-    /// Tasks that fit into what is free, by bar.
+    /// Tasks that fit into what is free, by restriction.
     free: [u64; 5],
     /// Tasks that would fit if nothing ran; counted until it is enough.
     whole: u64,
 }
 
 impl Sums {
-    fn add(&mut self, bar: Bar, free: u64, whole: u64) {
-        self.free[bar as usize] += free;
+    fn add(&mut self, restriction: Restriction, free: u64, whole: u64) {
+        self.free[restriction as usize] += free;
         self.whole += whole;
     }
 }
 
 impl<'a> Tally<'a> {
-    /// Counts in one pass over the workers; `bars` has one for each of them,
+    /// Counts in one pass over the workers; `restrictions` has one for each of them,
     /// or none at all if nothing is barred and all that fits was started: then
     /// nothing fits of a step that is no gang, and a few workers tell the rest.
-    pub fn open(spots: &'a [Spot], bars: &[Bar], ask: &Ask<'_>) -> Tally<'a> {
+    pub fn open(spots: &'a [Spot], restrictions: &[Restriction], ask: &Ask<'_>) -> Tally<'a> {
         let mut tally = Tally {
             count: u64::from(ask.count),
             gang: ask.step.gang,
@@ -58,15 +58,15 @@
             let fits = need.fits(&spot.free);
             let free = if fits { ask.copies(place, &spot.free) } else { 0 };
             let known = !tally.same_rack && tally.all.whole >= tally.count;
-            if known && bars.is_empty() && !tally.gang {
+            if known && restrictions.is_empty() && !tally.gang {
                 break;
             }
             let whole = if known { 0 } else { ask.copies(place, &spot.capacity) };
-            let bar = bars.get(place).copied().unwrap_or(Bar::Open);
-            tally.all.add(bar, free, whole);
+            let restriction = restrictions.get(place).copied().unwrap_or(Restriction::None);
+            tally.all.add(restriction, free, whole);
             if tally.same_rack {
                 let rack = tally.racks.entry(&spot.rack).or_default();
-                rack.add(bar, free, whole);
+                rack.add(restriction, free, whole);
             }
         }
         tally
@@ -79,12 +79,14 @@
             return Cause::Few;
         }
         let lifted = [
-            (Bar::Spared, Cause::Spared),
-            (Bar::Uncleared, Cause::Clearance),
-            (Bar::Avoided, Cause::Avoided),
-            (Bar::Apart, Cause::Apart),
+            (Restriction::Spared, Cause::Spared),
+            (Restriction::Uncleared, Cause::Clearance),
+            (Restriction::Avoided, Cause::Avoided),
+            (Restriction::Apart, Cause::Apart),
         ];
-        if let Some((_, cause)) = lifted.into_iter().find(|(bar, _)| self.holds(*bar)) {
+        if let Some((_, cause)) =
+            lifted.into_iter().find(|(restriction, _)| self.holds(*restriction))
+        {
             return cause;
         }
         let some_rack = self.same_rack && self.all.free.iter().sum::<u64>() >= self.count;
@@ -108,9 +110,9 @@
         if self.gang { self.count } else { 1 }
     }
 
-    /// True if the tasks could start if all bars up to this one were lifted.
-    fn holds(&self, bar: Bar) -> bool {
-        let free = |sums: &Sums| sums.free[..=bar as usize].iter().sum::<u64>();
+    /// True if the tasks could start if all restrictions up to this one were lifted.
+    fn holds(&self, restriction: Restriction) -> bool {
+        let free = |sums: &Sums| sums.free[..=restriction as usize].iter().sum::<u64>();
         if self.same_rack && self.racks.values().any(|sums| sums.whole >= self.count) {
             return self.racks.values().any(|sums| free(sums) >= self.count);
         }
