--- a/crates/dispatch/src/awaited.rs
+++ b/crates/dispatch/src/awaited.rs
@@ -33,7 +33,7 @@
             return;
         }
         self.awaited.next = now + PAUSE;
-        let steps = self.refresh_held_back(wall);
+        let steps = self.prune_held_back(wall);
         if steps == 0 {
             return;
         }
--- a/crates/dispatch/src/candidate.rs
+++ b/crates/dispatch/src/candidate.rs
@@ -22,7 +22,7 @@
 
 impl Candidate {
     /// Tasks of a step, each of which is so much `work`, and whether they are suspected.
-    pub fn open(
+    pub fn new(
         id: &Id,
         (occurrence, step): (u32, u32),
         (tasks, suspect): (Vec<u32>, bool),
--- a/crates/dispatch/src/cause.rs
+++ b/crates/dispatch/src/cause.rs
@@ -54,13 +54,13 @@
     ];
 
     /// True if it is a matter of workers, or of room on them.
-    pub(crate) fn is_of_workers(self) -> bool {
+    pub(crate) fn depends_on_workers(self) -> bool {
         let room = [Cause::Unconfigured, Cause::Room, Cause::Spared, Cause::Rack];
-        room.contains(&self) || self.is_lack()
+        room.contains(&self) || self.is_lack_of_workers()
     }
 
     /// True if the open workers could not hold the tasks if nothing ran.
-    pub(crate) fn is_lack(self) -> bool {
+    pub(crate) fn is_lack_of_workers(self) -> bool {
         [Cause::Pool, Cause::Label, Cause::Closed, Cause::Few].contains(&self)
     }
 
--- a/crates/dispatch/src/detail.rs
+++ b/crates/dispatch/src/detail.rs
@@ -6,19 +6,19 @@
 use crate::close_reason::CloseReason;
 use crate::entry::Entry;
 use crate::owner::Owner;
-use crate::waits::{Group, Wait};
+use crate::waits::{StepKey, Wait};
 
 /// Most names in one line.
 const NAMES: usize = 8;
 
 impl Owner {
     /// What an operator should look at.
-    pub(crate) fn wait_detail(&self, group: &Group, wait: &Wait, now: u64) -> String {
+    pub(crate) fn wait_detail(&self, group: &StepKey, wait: &Wait, now: u64) -> String {
         let Some(entry) = self.jobs.get(&group.0) else { return String::new() };
         let (room, whole) = wait.room;
         let room = format!("room for {room} of {}, for {whole} if nothing ran", wait.tasks);
         let label = entry.job.steps.get(group.2 as usize).map_or("", |step| &step.label);
-        let closed = self.not_open(&self.pool_of(entry), label);
+        let closed = self.closed_workers(&self.pool_of(entry), label);
         let shut = match closed.is_empty() {
             true => String::new(),
             false => format!("; not open: {}", list(closed.clone())),
@@ -34,13 +34,13 @@
                 format!("{room}{shut}")
             }
             Cause::Reserved => reserved(entry, group, now),
-            Cause::Clearance => self.clearance(entry, group, now),
+            Cause::Clearance => self.clearance_detail(entry, group, now),
             Cause::Avoided => format!("failed at {}", list(self.failed_at(entry, group, now))),
         }
     }
 
     /// Workers that take nothing new, and why.
-    fn not_open(&self, pool: &str, label: &str) -> Vec<String> {
+    fn closed_workers(&self, pool: &str, label: &str) -> Vec<String> {
         let labelled =
             |worker: &Worker| label.is_empty() || worker.labels.iter().any(|l| l == label);
         let allowed = |worker: &Worker| worker.pool == pool && labelled(worker);
@@ -55,7 +55,7 @@
     }
 
     /// The agents of workers at which tasks of the step have failed.
-    fn failed_at(&self, entry: &Entry, (_, occurrence, step): &Group, now: u64) -> Vec<String> {
+    fn failed_at(&self, entry: &Entry, (_, occurrence, step): &StepKey, now: u64) -> Vec<String> {
         let slots = (*occurrence, *step, 0)..=(*occurrence, *step, u32::MAX);
         let failed = |worker: &Incarnation| {
             let mut slots = entry.avoided_workers.range(slots.clone()).map(|(_, workers)| workers);
@@ -68,7 +68,7 @@
     }
 
     /// What is known of where the step may run.
-    fn clearance(&self, entry: &Entry, (_, occurrence, step): &Group, now: u64) -> String {
+    fn clearance_detail(&self, entry: &Entry, (_, occurrence, step): &StepKey, now: u64) -> String {
         let asking = if self.advice_pending { "a question is out" } else { "no question is out" };
         let known = entry.clearances.get(&(*occurrence, *step));
         let (barred, cleared) = known.map_or((0, 0), |clearance| clearance.counts(now));
@@ -77,12 +77,12 @@
 }
 
 /// The agents of workers at which a step's tasks may run.
-fn remains(entry: &Entry, (_, occurrence, step): &Group) -> Vec<String> {
+fn remains(entry: &Entry, (_, occurrence, step): &StepKey) -> Vec<String> {
     let tasks = (*occurrence, *step, 0)..=(*occurrence, *step, u32::MAX);
     entry.runs.range(tasks).map(|(_, placed)| placed.agent.clone()).collect()
 }
 
-fn reserved(entry: &Entry, (_, occurrence, step): &Group, now: u64) -> String {
+fn reserved(entry: &Entry, (_, occurrence, step): &StepKey, now: u64) -> String {
     let Some(reservation) = entry.reservations.get(&(*occurrence, *step)) else {
         return String::new();
     };
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -404,7 +404,7 @@
         let detail = match entry.job.schedule {
             Some(_) => format!("{state:?}, scheduled"),
             None => {
-                let objective = guide.goal(entry, 0).objective();
+                let objective = guide.objective_of(entry, 0).objective();
                 format!("{state:?}, objective {objective} ms")
             }
         };
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/pace.rs
@@ -31,14 +31,14 @@
         }
         for (id, key) in found {
             self.log("run moved", &id, format!("{key:?} at {name} stands still"));
-            for key in self.unit(&id, key) {
+            for key in self.runs_in_unit(&id, key) {
                 self.stop_run(&id, key, now);
             }
         }
     }
 
     /// The runs that stop together with this one.
-    fn unit(&self, id: &str, key: Key) -> Vec<Key> {
+    fn runs_in_unit(&self, id: &str, key: Key) -> Vec<Key> {
         let Some(entry) = self.jobs.get(id) else { return Vec::new() };
         let Some(unit) = entry.runs.get(&key).map(|placed| placed.unit) else { return Vec::new() };
         let same = entry.runs.iter().filter(|(_, placed)| placed.unit == unit);
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -30,7 +30,7 @@
         candidates
             .sort_by_key(|candidate| (!self.has_reserved_guarantee(candidate), candidate.rank));
         let mut snapshot = self.snapshot(now);
-        self.waits.begin();
+        self.waits.begin_round();
         for candidate in &candidates {
             self.start_candidate(candidate, &mut snapshot, now, wall);
         }
@@ -67,7 +67,7 @@
                         break;
                     }
                 }
-                let goal = guide.goal(entry, occurrence);
+                let goal = guide.objective_of(entry, occurrence);
                 for (number, step) in (0u32..).zip(&entry.job.steps) {
                     let tasks = pending_tasks(entry, occurrence, number, step, id);
                     if tasks.is_empty() {
@@ -87,8 +87,8 @@
                             latest: goal.latest(),
                             version: entry.version,
                         };
-                        let work = weight(step) * guide.expect(entry, number, step);
-                        found.push(Candidate::open(id, (occurrence, number), group, rank, work));
+                        let work = weight(step) * guide.estimate(entry, number, step);
+                        found.push(Candidate::new(id, (occurrence, number), group, rank, work));
                     }
                 }
             }
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -336,7 +336,7 @@
         if known.is_some() {
             return;
         }
-        self.times.learn(&entry.job.queue.name, estimate, took);
+        self.times.record(&entry.job.queue.name, estimate, took);
         self.times_changed = true;
     }
 
--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -16,27 +16,27 @@
 #[derive(Debug, Default)]
 pub(crate) struct Review {
     /// No look before this time.
-    next: u64,
+    next_at: u64,
     /// The agents whose workers were not open.
-    shut: Vec<String>,
+    closed_agents: Vec<String>,
 }
 
 impl Owner {
     /// Takes note of steps whose cause has become a lack of workers, or is none
     /// any more.
     pub(crate) fn review_waits(&mut self, now: u64) {
-        if now < self.review.next {
+        if now < self.review.next_at {
             return;
         }
-        self.review.next = now + PAUSE;
+        self.review.next_at = now + PAUSE;
         let shut = |agent| CloseReason::of(agent, &self.settings, now).is_some();
         let agents = self.agents.iter().filter(|(_, agent)| shut(agent));
         let shut: Vec<String> = agents.map(|(name, _)| name.clone()).collect();
-        if shut == self.review.shut {
+        if shut == self.review.closed_agents {
             return;
         }
-        self.review.shut = shut;
-        let waits = self.waits.on_workers();
+        self.review.closed_agents = shut;
+        let waits = self.waits.waiting_for_workers();
         if waits.is_empty() {
             return;
         }
@@ -44,9 +44,10 @@
         let restrictions = vec![Restriction::None; snapshot.spots.len()];
         for (group, wait) in waits {
             let found = self.cause(&group, wait.tasks, &snapshot.spots, &restrictions);
-            let changed = |cause: &Cause| cause.is_lack() || wait.cause.is_lack();
+            let changed =
+                |cause: &Cause| cause.is_lack_of_workers() || wait.cause.is_lack_of_workers();
             if let Some((cause, room)) = found.filter(|(cause, _)| changed(cause)) {
-                self.waits.note(group, (wait.tasks, cause), room, now);
+                self.waits.record(group, (wait.tasks, cause), room, now);
             }
         }
     }
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -16,13 +16,14 @@
 use crate::plan::{pending_tasks, tasks_per_worker};
 use crate::snapshot::Snapshot;
 use crate::tally::{Restriction, Tally};
-use crate::waits::Group;
+use crate::waits::StepKey;
 
 impl Owner {
     /// How many steps have waited for long, by cause.
     pub fn long_waits(&self) -> BTreeMap<Cause, usize> {
         let mut counts = BTreeMap::new();
-        let long = self.waits.long(self.now).filter(|(group, _)| is_open(&self.jobs, &group.0));
+        let long =
+            self.waits.long_waits(self.now).filter(|(group, _)| is_open(&self.jobs, &group.0));
         long.for_each(|(_, cause)| *counts.entry(cause).or_default() += 1);
         counts
     }
@@ -36,7 +37,7 @@
             return false;
         }
         let wait = (self.unplaced_tasks(candidate), Cause::Reserved);
-        self.waits.note(group(candidate), wait, (0, 0), now);
+        self.waits.record(group(candidate), wait, (0, 0), now);
         true
     }
 
@@ -55,14 +56,14 @@
         }
         let key = group(candidate);
         let Some((cause, room)) = self.cause(&key, left, &snapshot.spots, limits) else { return };
-        self.waits.note(key, (left, cause), room, now);
+        self.waits.record(key, (left, cause), room, now);
     }
 
     /// Why so many tasks of a step do not start on these workers, how many fit
     /// now, and how many would if nothing ran.
     pub(crate) fn cause(
         &self,
-        (id, occurrence, number): &Group,
+        (id, occurrence, number): &StepKey,
         tasks: usize,
         spots: &[Spot],
         restrictions: &[Restriction],
@@ -76,10 +77,10 @@
         };
         let count = tasks as u32;
         let ask = Ask { step, pool, count, patient: true, over: Hold::Lower, sure: false, held };
-        let tally = Tally::open(spots, restrictions, &ask);
+        let tally = Tally::count(spots, restrictions, &ask);
         let unconfigured = entry.job.queue.priority == 0 && self.config.version == 0;
         let cause = match tally.cause() {
-            Cause::Few => self.closed(&ask, &tally),
+            Cause::Few => self.closed_or_too_few(&ask, &tally),
             Cause::Room if unconfigured => Cause::Unconfigured,
             cause => cause,
         };
@@ -89,13 +90,13 @@
     /// Takes note of steps that are no candidates, though their turn has come.
     pub(crate) fn record_held_back(&mut self, now: u64, wall: u64) {
         for (group, wait) in self.held_back(wall) {
-            self.waits.note(group, wait, (0, 0), now);
+            self.waits.record(group, wait, (0, 0), now);
         }
     }
 
     /// Tells what had waited, and for what, once it waits no more.
     pub(crate) fn log_ended_waits(&mut self, now: u64) {
-        for (group, wait) in self.waits.end(now) {
+        for (group, wait) in self.waits.end_round(now) {
             let (id, occurrence, step) = &group;
             let begun = |entry: &Entry| entry.has_runs(*occurrence, *step);
             if !self.jobs.get(id).is_some_and(begun) {
@@ -112,16 +113,16 @@
     pub(crate) fn log_waits(&mut self, now: u64, wall: u64) {
         self.tell_unsettled(now, wall);
         self.review_waits(now);
-        if !self.waits.is_due(now) {
+        if !self.waits.has_due_lines(now) {
             return;
         }
         let jobs = &self.jobs;
         self.waits.retain(|group, _| is_open(jobs, &group.0));
-        let (told, left) = self.waits.take(now);
+        let (told, left) = self.waits.take_due_lines(now);
         for (group, wait) in told {
             let (id, occurrence, step) = &group;
             let name = format!("{id}.{occurrence}.{step}, {} tasks", wait.tasks);
-            let (ms, cause) = (now - wait.since, wait.cause.name());
+            let (ms, cause) = (now - wait.waiting_since, wait.cause.name());
             let detail = self.wait_detail(&group, &wait, now);
             self.log("waits", id, format!("{name}, {ms} ms: {cause}: {detail}"));
         }
@@ -132,8 +133,8 @@
 
     /// Forgets steps that a new owner held back and that turned out to run.
     /// Returns how many it still holds back.
-    pub(crate) fn refresh_held_back(&mut self, wall: u64) -> usize {
-        let held: BTreeSet<Group> = self
+    pub(crate) fn prune_held_back(&mut self, wall: u64) -> usize {
+        let held: BTreeSet<StepKey> = self
             .held_back(wall)
             .into_iter()
             .filter(|(_, (_, cause))| *cause == Cause::Unsettled)
@@ -145,7 +146,7 @@
 
     /// Steps that wait for members of a new owner, or for what is left of a
     /// former start.
-    fn held_back(&self, wall: u64) -> Vec<(Group, (usize, Cause))> {
+    fn held_back(&self, wall: u64) -> Vec<(StepKey, (usize, Cause))> {
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter().filter(|(_, entry)| !entry.progress.state.ended()) {
             let older = !self.settled && entry.version <= self.claim_version;
@@ -169,7 +170,7 @@
     }
 
     /// Why the open workers could not hold tasks if nothing ran.
-    fn closed(&self, ask: &Ask<'_>, tally: &Tally<'_>) -> Cause {
+    fn closed_or_too_few(&self, ask: &Ask<'_>, tally: &Tally<'_>) -> Cause {
         let label = &ask.step.label;
         let pool = || {
             let known = self.agents.values().filter(|agent| agent.worker.is_some());
@@ -216,7 +217,7 @@
     jobs.get(id).is_some_and(|entry| !entry.progress.state.ended())
 }
 
-fn group(candidate: &Candidate) -> Group {
+fn group(candidate: &Candidate) -> StepKey {
     (candidate.id.clone(), candidate.occurrence, candidate.step)
 }
 
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -109,7 +109,7 @@
                 rack: worker.rack.clone(),
                 labels: worker.labels.clone(),
                 capacity: worker.capacity,
-                free: self.left_by_strays(agent, worker.capacity),
+                free: self.capacity_without_strays(agent, worker.capacity),
                 stopping: Need::default(),
                 ending: Need::default(),
                 doubtful: agent.doubted_until.max(agent.cold_until) > now
@@ -117,7 +117,7 @@
                 holders: Vec::new(),
             });
         }
-        let borrowed = self.borrowed();
+        let borrowed = self.borrowed_units();
         let mut taken = BTreeMap::new();
         let mut units: BTreeMap<u64, Vec<(Id, Key)>> = BTreeMap::new();
         let mut fresh: BTreeMap<usize, Fresh> = BTreeMap::new();
@@ -146,7 +146,7 @@
                 }
                 if placed.phase == Phase::Stopping {
                     spots[place].stopping.give(&need);
-                } else if yields && self.may_yield(id, *key, &mut taken) {
+                } else if yields && self.may_be_stopped(id, *key, &mut taken) {
                     let loss = loss(step, now.saturating_sub(placed.started_at));
                     let unit = placed.unit;
                     spots[place].holders.push(Holder { unit, need, hold, loss, ending });
@@ -160,7 +160,7 @@
     /// What runs that nobody waits for leave of a worker's capacity until their stops are
     /// through; nothing if it is not known what one of them takes. A worker that does not
     /// check for itself would be given more than it has.
-    fn left_by_strays(&self, agent: &Agent, capacity: Need) -> Need {
+    fn capacity_without_strays(&self, agent: &Agent, capacity: Need) -> Need {
         let mut left = capacity;
         for task in &agent.strays {
             let step = self.jobs.get(&task.job).and_then(|entry| entry.step(key(task)));
@@ -172,7 +172,7 @@
 
     /// True if the run may be taken away at all: of a step that lasts, only as
     /// many as may be missing at one time.
-    fn may_yield(&self, id: &Id, key: Key, taken: &mut BTreeMap<(Id, u32, u32), u32>) -> bool {
+    fn may_be_stopped(&self, id: &Id, key: Key, taken: &mut BTreeMap<(Id, u32, u32), u32>) -> bool {
         let step = self.jobs.get(id).and_then(|entry| entry.step(key));
         if !step.is_some_and(|step| step.perpetual && step.may_miss > 0) {
             return true;
@@ -185,7 +185,7 @@
 
     /// Units of priority 0 that their team holds beyond its guarantee: the
     /// ones that it started last.
-    fn borrowed(&self) -> BTreeSet<u64> {
+    fn borrowed_units(&self) -> BTreeSet<u64> {
         let mut units: BTreeMap<u64, (&str, u64)> = BTreeMap::new();
         for entry in self.jobs.values().filter(|entry| entry.job.queue.priority == 0) {
             for (key, placed) in &entry.runs {
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -44,7 +44,7 @@
     /// Counts in one pass over the workers; `restrictions` has one for each of them,
     /// or none at all if nothing is barred and all that fits was started: then
     /// nothing fits of a step that is no gang, and a few workers tell the rest.
-    pub fn open(spots: &'a [Spot], restrictions: &[Restriction], ask: &Ask<'_>) -> Tally<'a> {
+    pub fn count(spots: &'a [Spot], restrictions: &[Restriction], ask: &Ask<'_>) -> Tally<'a> {
         let mut tally = Tally {
             count: u64::from(ask.count),
             gang: ask.step.gang,
--- a/crates/dispatch/src/throttle.rs
+++ b/crates/dispatch/src/throttle.rs
@@ -17,7 +17,7 @@
     /// Sets the pace of the tasks that fill one worker by how those that serve
     /// there do. Given again each time while they are over: an order may be lost.
     pub(crate) fn throttle(&mut self, name: &str, running: &[Run]) {
-        let Some(load) = self.load(running) else { return };
+        let Some(load) = self.max_load(running) else { return };
         let mut orders = Vec::new();
         for run in running {
             let Some(entry) = self.jobs.get_mut(&run.task.job) else { continue };
@@ -43,7 +43,7 @@
 
     /// The worst of the tasks that serve, in percent of its target; none if
     /// none serves.
-    fn load(&self, running: &[Run]) -> Option<u64> {
+    fn max_load(&self, running: &[Run]) -> Option<u64> {
         let loads = running.iter().filter_map(|run| {
             let step = self.jobs.get(&run.task.job)?.step(key(&run.task))?;
             (step.target > 0).then(|| run.gauge * 100 / step.target)
--- a/crates/dispatch/src/times.rs
+++ b/crates/dispatch/src/times.rs
@@ -40,7 +40,7 @@
 
 impl Times {
     /// A step of the queue that was estimated at `estimate` ms took `took` ms.
-    pub fn learn(&mut self, queue: &str, estimate: u64, took: u64) {
+    pub fn record(&mut self, queue: &str, estimate: u64, took: u64) {
         let sums = self.queues.entry(queue.to_owned()).or_default();
         if sums.count >= MANY {
             sums.halve();
@@ -55,7 +55,7 @@
     }
 
     /// How long a step of the queue is expected to take, in milliseconds.
-    pub fn expect(&self, queue: &str, estimate: u64) -> u64 {
+    pub fn estimate(&self, queue: &str, estimate: u64) -> u64 {
         let Some(sums) = self.queues.get(queue).filter(|sums| sums.count >= FEW) else {
             return estimate;
         };
--- a/crates/dispatch/tests/times.rs
+++ b/crates/dispatch/tests/times.rs
@@ -6,9 +6,9 @@
 fn learned(samples: &[(u64, u64)]) -> String {
     let mut times = Times::default();
     for &(estimate, took) in samples {
-        times.learn("q", estimate, took);
+        times.record("q", estimate, took);
     }
-    let told = [300, 1000, 5000].map(|estimate| times.expect("q", estimate).to_string());
+    let told = [300, 1000, 5000].map(|estimate| times.estimate("q", estimate).to_string());
     told.join(" ")
 }
 
