--- a/crates/runner/src/looks.rs
+++ b/crates/runner/src/looks.rs
@@ -24,7 +24,7 @@
                 let seen = session.seen;
                 session.ended.retain(|end| end.number > seen);
                 session.rest =
-                    if session.ended.is_empty() { now } else { now + self.settings.pause };
+                    if session.ended.is_empty() { now } else { now + self.settings.retry_delay };
                 session.reported = now;
                 session.proven = true;
                 session.broke = None;
@@ -36,7 +36,7 @@
                 if let Some(late) = self.rival.take() {
                     self.bury(late.worker.incarnation());
                 }
-                self.lease.observe(clock, now);
+                self.lease.set_worker_clock(clock, now);
                 self.tell_status(now);
                 let told: Vec<Stopped> = told;
                 for stop in told {
@@ -48,7 +48,7 @@
             answer => {
                 session.sure = false;
                 session.changed = true;
-                session.rest = now + self.settings.pause;
+                session.rest = now + self.settings.retry_delay;
                 if matches!(answer, Err(Fault::Unsent { .. })) {
                     self.unreachable(now);
                 }
--- a/crates/runner/tests/announcement.rs
+++ b/crates/runner/tests/announcement.rs
@@ -2,7 +2,7 @@
 
 use insta::assert_snapshot;
 use quincewheel_job::Worker;
-use quincewheel_runner::{Action, Announcement, Beat, Call, Output, Reply, Runner, Settings};
+use quincewheel_runner::{Action, Announcement, Call, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Order, Refused};
 
 /// An agent whose worker runs under an owner.
@@ -21,7 +21,7 @@
         let (now, calls, written) = (1000, Vec::new(), Vec::new());
         let mut bed = Bed { runner, announcement, now, calls, written };
         bed.report("i1");
-        bed.runner.order(1, Order::Claim { epoch: 1 }, bed.now);
+        bed.runner.on_order(1, Order::Claim { epoch: 1 }, bed.now);
         bed.drain();
         bed.answer(Ok(Reply::Held {
             born: 0,
@@ -35,13 +35,13 @@
 
     fn report(&mut self, id: &str) {
         let worker = Worker { id: id.into(), pool: "p".into(), ..Worker::default() };
-        self.runner.beat(&beat(&worker, "10.0.0.1:80", 50_000 + self.now), self.now);
+        self.runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 50_000 + self.now), self.now);
         self.drain();
     }
 
     fn answer(&mut self, answer: Result<Reply, quincewheel_runner::Fault>) {
         let Some((id, _)) = self.calls.pop() else { return };
-        self.runner.answer(id, answer, self.now);
+        self.runner.on_reply(id, answer, self.now);
         self.drain();
     }
 
@@ -58,11 +58,13 @@
                 self.calls.push((id, call));
             }
         }
-        let (lives, due) =
-            (self.runner.incarnations(), self.announcement.due(&self.runner, 1.0, self.now));
+        let (lives, due) = (
+            self.runner.incarnation_count(),
+            self.announcement.next_write(&self.runner, 1.0, self.now),
+        );
         if due.is_some_and(|at| at <= self.now) {
             self.written.push(format!("{} ms", self.now - 1000));
-            self.announcement.written(lives);
+            self.announcement.on_written(lives);
         }
     }
 }
@@ -74,7 +76,7 @@
 #[test]
 fn a_new_life_is_announced_as_soon_as_it_is_known() {
     let mut bed = Bed::open();
-    bed.runner.unlinked(1);
+    bed.runner.on_disconnect(1);
     bed.pass(3000);
     bed.report("i2");
     bed.pass(5);
@@ -86,7 +88,7 @@
 #[test]
 fn an_agent_that_stays_alone_writes_its_row_again() {
     let mut bed = Bed::open();
-    bed.runner.unlinked(1);
+    bed.runner.on_disconnect(1);
     for second in 0..80 {
         bed.pass(1000);
         if second % 2 == 0 {
@@ -101,7 +103,7 @@
 #[test]
 fn a_worker_that_reports_no_more_is_not_announced() {
     let mut bed = Bed::open();
-    bed.runner.unlinked(1);
+    bed.runner.on_disconnect(1);
     for _ in 0..80 {
         bed.pass(1000);
     }
@@ -109,6 +111,6 @@
 }
 
 /// A report, numbered by the worker's clock.
-fn beat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Beat<'a> {
-    Beat { worker, address, clock, number: clock }
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
 }
