--- a/crates/dispatch/src/candidate.rs
+++ b/crates/dispatch/src/candidate.rs
@@ -1,27 +1,28 @@
 use quincewheel_job::Id;
 use quincewheel_policy::Rank;
 
-/// Tasks of one step that could start now.
+/// Tasks of one step that could start now. They are placed together.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
-    /// Their job.
+    /// Id of the job.
     pub id: Id,
-    /// Which time of a scheduled job.
+    /// The occurrence; always 0 for a job without a schedule.
     pub occurrence: u32,
-    /// The step.
+    /// Index of the step in the job.
     pub step: u32,
-    /// The tasks, by index.
+    /// Indexes of the tasks in the step.
     pub tasks: Vec<u32>,
-    /// Their own work, in core-milliseconds: what stopping others may cost.
+    /// Expected work of the tasks in core-milliseconds. It limits how much work of others may
+    /// be lost by preemption.
     pub work: u64,
-    /// One of them may crash the workers that start it.
+    /// Whether one of the tasks may crash the workers that start it.
     pub suspect: bool,
-    /// Lower comes first.
+    /// Candidates are placed in ascending order of rank.
     pub rank: Rank,
 }
 
 impl Candidate {
-    /// Tasks of a step, each of which is so much `work`, and whether they are suspected.
+    /// Creates a candidate. `work` is that of one task.
     pub fn new(
         id: &Id,
         (occurrence, step): (u32, u32),
@@ -33,7 +34,7 @@
         Candidate { id: id.clone(), occurrence, step, tasks, work, suspect, rank }
     }
 
-    /// The team's guarantee covers them: room is made for them if need be.
+    /// Returns whether the tasks are covered by their team's guarantee.
     pub fn guaranteed(&self) -> bool {
         !self.rank.borrowed
     }
--- a/crates/dispatch/src/cause.rs
+++ b/crates/dispatch/src/cause.rs
@@ -1,41 +1,39 @@
-//! Why work whose turn has come does not start.
-
-/// What keeps tasks of a step from starting.
+/// What keeps tasks of a step from starting although they are ready.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Cause {
-    /// A new owner waits for members: a former one may have started them.
+    /// A previous owner may have started them, and not all members have reported since.
     Unsettled,
-    /// Runs of a former start of the gang may still exist.
+    /// Runs of an earlier start of the gang may still exist.
     Remains,
-    /// Nothing is guaranteed before there is a configuration, and so no room
-    /// is made.
+    /// There is no configuration yet, and without one no guarantee for which room is made.
     Unconfigured,
     /// No worker of the pool is known.
     Pool,
     /// No worker of the pool has the label.
     Label,
-    /// Workers that could hold them take nothing new.
+    /// Workers that could hold them are closed to new runs.
     Closed,
-    /// The workers could not hold them if nothing ran.
+    /// The workers could not hold them even if nothing else ran.
     Few,
     /// Other work takes the room.
     Room,
-    /// Whole workers are left to work that has less time.
+    /// The room is kept free for more urgent work.
     Spared,
-    /// There is room, but not in one rack.
+    /// There is room, but not in a single rack.
     Rack,
-    /// Work was stopped for them and has not ended yet.
+    /// Room is reserved for them, but the work there has not stopped yet.
     Reserved,
     /// They are not cleared for the workers that have room.
     Clearance,
-    /// They failed a moment ago at the workers that have room.
+    /// They failed recently at the workers that have room.
     Avoided,
-    /// One of them may crash workers, and something has just started at those that have room.
+    /// They are kept apart from other starts at the workers that have room, since one of them
+    /// may crash its worker.
     Apart,
 }
 
 impl Cause {
-    /// All causes.
+    /// All causes, in the order of their declaration.
     pub const ALL: [Cause; 14] = [
         Cause::Unsettled,
         Cause::Remains,
@@ -53,18 +51,18 @@
         Cause::Apart,
     ];
 
-    /// True if it is a matter of workers, or of room on them.
+    /// Returns whether a change of the workers alone may change the cause.
     pub(crate) fn depends_on_workers(self) -> bool {
         let room = [Cause::Unconfigured, Cause::Room, Cause::Spared, Cause::Rack];
         room.contains(&self) || self.is_lack_of_workers()
     }
 
-    /// True if the open workers could not hold the tasks if nothing ran.
+    /// Returns whether the open workers could not hold the tasks even if nothing else ran.
     pub(crate) fn is_lack_of_workers(self) -> bool {
         [Cause::Pool, Cause::Label, Cause::Closed, Cause::Few].contains(&self)
     }
 
-    /// Its name in the log and the metrics.
+    /// Returns the cause's name in the log and in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Cause::Unsettled => "unsettled",
--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -1,34 +1,32 @@
-//! Another look at what waits, where workers changed and nothing was decided.
+//! Re-evaluates why steps wait when workers have closed or opened without a round of planning.
 //!
-//! A worker that drains or falls silent changes no decision, so nothing is
-//! decided anew. What waits may then wait for it, and no longer for room.
+//! A worker that drains or stops responding lets nothing new start, so it causes no planning.
+//! A step that waited for room may then wait for that worker instead.
 
 use crate::cause::Cause;
 use crate::close_reason::CloseReason;
 use crate::owner::Owner;
 use crate::tally::Restriction;
 
-/// Time between two looks, in milliseconds: a line comes no sooner than that
-/// after the one before.
-const PAUSE: u64 = 1000;
+/// Time between two reviews. Log lines about one step are at least this far apart anyway.
+const REVIEW_INTERVAL_MS: u64 = 1000;
 
-/// What the last look found.
+/// Result of the last review.
 #[derive(Debug, Default)]
 pub(crate) struct Review {
-    /// No look before this time.
+    /// Earliest time of the next review.
     next_at: u64,
-    /// The agents whose workers were not open.
+    /// The agents whose workers were closed.
     closed_agents: Vec<String>,
 }
 
 impl Owner {
-    /// Takes note of steps whose cause has become a lack of workers, or is none
-    /// any more.
+    /// Updates the cause of steps that now wait for workers, or do so no more.
     pub(crate) fn review_waits(&mut self, now: u64) {
         if now < self.review.next_at {
             return;
         }
-        self.review.next_at = now + PAUSE;
+        self.review.next_at = now + REVIEW_INTERVAL_MS;
         let shut = |agent| CloseReason::of(agent, &self.settings, now).is_some();
         let agents = self.agents.iter().filter(|(_, agent)| shut(agent));
         let shut: Vec<String> = agents.map(|(name, _)| name.clone()).collect();
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -1,4 +1,4 @@
-//! Room that is made by stopping work, and kept until it is free.
+//! Preemption: stopping work to make room for a step, and reserving that room until it is free.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,8 @@
 use crate::suspects::Fresh;
 
 impl Owner {
-    /// Starts a step on the room that was kept for it. False if that is void.
+    /// Starts a step on the room reserved for it, or keeps the reservation if the room is not
+    /// free yet. Returns false if the reservation is void.
     pub(crate) fn use_reservation(
         &mut self,
         candidate: &Candidate,
@@ -37,8 +38,8 @@
             entry.job.queue.advice.is_none() || entry.ticket(key, worker, now).is_some()
         };
         let until = reservation.made_at + self.settings.reservation;
-        // A worker that is left alone for a moment after a refusal keeps its promise; taken
-        // for void, work at another one would be stopped as well.
+        // A reservation stays valid while its worker is in a pause after a refusal. If it were
+        // void, work on yet another worker would be stopped as well.
         let paused =
             |name: &String| self.agents.get(name).is_some_and(|agent| agent.refusals.until > 0);
         let trial = |place: &usize| snapshot.recent_starts.get(place) == Some(&Fresh::Suspect);
@@ -65,7 +66,7 @@
                 spots[place].reserve(&need);
                 fits
             });
-            // Else somebody who comes first took the room.
+            // Otherwise a candidate with a better rank has taken the room.
             if promised {
                 snapshot.spots = spots;
                 self.track_reservation_end(until);
@@ -80,13 +81,14 @@
         true
     }
 
-    /// Sees to it that the next round is no later than the end of a reservation.
+    /// Ensures that the next round of planning is no later than the end of a reservation.
     fn track_reservation_end(&mut self, until: u64) {
         self.reservation_ends_at =
             Some(self.reservation_ends_at.map_or(until, |known| known.min(until)));
     }
 
-    /// Stops work that gives way, and keeps its room.
+    /// Stops work that the candidate may preempt, and reserves the room for its tasks from index
+    /// `started` on. Does nothing if no such work makes enough room or if the loss is too high.
     pub(crate) fn make_room(
         &mut self,
         candidate: &Candidate,
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The picture that one round of decisions works on.
+//! The snapshot of workers and their free capacity that one round of planning works on.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,31 +13,32 @@
 use crate::suspects::Fresh;
 use crate::tally::Restriction;
 
-/// Workers, what is free on them, and what could be taken away.
+/// Open workers, their free capacity, and the work on them that may be preempted. A round of
+/// planning updates it as it places tasks.
 pub(crate) struct Snapshot {
-    /// The workers that take work.
+    /// The workers that accept runs.
     pub spots: Vec<Spot>,
-    /// What is truly free, reservations not taken away.
+    /// Free capacity of each worker, reservations not deducted.
     pub actual_free: Vec<Need>,
-    /// The runs of each unit that stops as a whole.
+    /// The runs of each unit. A unit can only be stopped as a whole.
     pub units: BTreeMap<u64, Vec<(Id, Key)>>,
-    /// Places at which something has just started.
+    /// Workers that have just started a task, by place.
     pub recent_starts: BTreeMap<usize, Fresh>,
 }
 
-/// Places that a step leaves free, by why.
+/// Places that a step must not use, by reason.
 #[derive(Debug, Default)]
 pub(crate) struct Exclusions {
-    /// It is not cleared for the workers.
+    /// The step is not cleared for the workers.
     pub uncleared: Vec<usize>,
-    /// Its tasks failed there.
+    /// The step's tasks have failed there recently.
     pub avoided: Vec<usize>,
-    /// A crash there could not be told from another's.
+    /// A crash there could not be attributed to one task.
     pub apart: Vec<usize>,
 }
 
 impl Exclusions {
-    /// All of them.
+    /// Returns all excluded places, sorted and without duplicates.
     pub fn places(&self) -> Vec<usize> {
         let mut places = [&self.uncleared[..], &self.avoided, &self.apart].concat();
         places.sort_unstable();
@@ -47,19 +48,19 @@
 }
 
 impl Snapshot {
-    /// Hides workers that a step is not cleared for.
+    /// Takes the workers at these places out, so that nothing fits there, and returns them.
     pub fn hide(&mut self, places: &[usize]) -> Vec<(usize, Spot)> {
         places.iter().map(|&place| (place, std::mem::take(&mut self.spots[place]))).collect()
     }
 
-    /// Shows again what [`Snapshot::hide`] took.
+    /// Puts back the workers that [`Snapshot::hide`] returned.
     pub fn show(&mut self, hidden: Vec<(usize, Spot)>) {
         for (place, spot) in hidden {
             self.spots[place] = spot;
         }
     }
 
-    /// All places, those first at which the least runs.
+    /// Returns all places, those with the fewest accelerators and CPUs in use first.
     pub fn least_used(&self) -> Vec<usize> {
         let used = |place: &usize| {
             let (spot, free) = (&self.spots[*place], self.spots[*place].free);
@@ -91,7 +92,7 @@
 }
 
 impl Owner {
-    /// The workers as they are.
+    /// Takes a snapshot of the open workers and the runs on them.
     pub(crate) fn snapshot(&self, now: u64) -> Snapshot {
         let mut spots: Vec<Spot> = Vec::new();
         let mut places: BTreeMap<&str, usize> = BTreeMap::new();
@@ -136,8 +137,8 @@
                     0 => Hold::Borrowed,
                     _ => Hold::Lower,
                 };
-                // One that gave its guaranteed room up once does not again: all would begin, and
-                // none end.
+                // Guaranteed work is preempted only once. Otherwise jobs could preempt each
+                // other in turn, so that all begin and none ends.
                 let yields =
                     hold != Hold::Guaranteed || (entry.has_begun && !entry.guarantee_preempted);
                 let ending = !step.perpetual && entry.unit_ends_soon(placed, &self.settings, now);
@@ -157,9 +158,9 @@
         Snapshot { spots, actual_free: actual, units, recent_starts: fresh }
     }
 
-    /// What runs that nobody waits for leave of a worker's capacity until their stops are
-    /// through; nothing if it is not known what one of them takes. A worker that does not
-    /// check for itself would be given more than it has.
+    /// Returns a worker's capacity less that of its stray runs, which occupy it until they have
+    /// stopped; none if the requirements of one of them are not known. A worker that does not
+    /// check its capacity itself would otherwise be given more than fits.
     fn capacity_without_strays(&self, agent: &Agent, capacity: Need) -> Need {
         let mut left = capacity;
         for task in &agent.strays {
@@ -170,8 +171,8 @@
         left
     }
 
-    /// True if the run may be taken away at all: of a step that lasts, only as
-    /// many as may be missing at one time.
+    /// Returns whether the run may be preempted at all. Of a perpetual step, only as many runs
+    /// may be stopped as may be missing at the same time.
     fn may_be_stopped(&self, id: &Id, key: Key, taken: &mut BTreeMap<(Id, u32, u32), u32>) -> bool {
         let step = self.jobs.get(id).and_then(|entry| entry.step(key));
         if !step.is_some_and(|step| step.perpetual && step.may_miss > 0) {
@@ -183,8 +184,8 @@
         *taken <= spare
     }
 
-    /// Units of priority 0 that their team holds beyond its guarantee: the
-    /// ones that it started last.
+    /// Returns the units of priority 0 that exceed their team's guarantee, which are those that
+    /// the team started last.
     fn borrowed_units(&self) -> BTreeSet<u64> {
         let mut units: BTreeMap<u64, (&str, u64)> = BTreeMap::new();
         for entry in self.jobs.values().filter(|entry| entry.job.queue.priority == 0) {
@@ -197,7 +198,7 @@
         self.guarantees().borrowed(units)
     }
 
-    /// What teams are guaranteed, of which nothing is taken.
+    /// Returns the teams' guarantees with nothing in use.
     pub(crate) fn guarantees(&self) -> Guarantees<impl Fn(&str) -> u64> {
         let teams = &self.config.teams;
         Guarantees::open(|team: &str| teams.get(team).map_or(0, |team| team.guaranteed))
