--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -18,12 +18,12 @@
     pub last_notice_at: u64,
     /// The worker, if the agent has one.
     pub worker: Option<Worker>,
-    /// Whether every run there that a predecessor may have started is accounted for: the
+    /// Whether every run there that a previous owner may have started is accounted for: the
     /// worker has answered under this owner's epoch, or is known to have ended.
     pub reconciled: bool,
     /// Whether the worker has answered under this owner's epoch on the open connection.
     pub fenced: bool,
-    /// Whether a predecessor may have granted leases through this agent.
+    /// Whether a previous owner may have granted leases through this agent.
     pub predecessor_leases: bool,
     /// When the last lease granted through this agent expires.
     pub leases_expire_at: u64,
@@ -99,11 +99,11 @@
         }
     }
 
-    /// Returns whether no run that a predecessor started can still exist there unknown to this
-    /// owner, given that predecessors granted their last leases at `last`.
+    /// Returns whether no run that a previous owner started can still exist there unknown to this
+    /// owner, given that previous owners granted their last leases at `last`.
     ///
     /// Without a reconciled worker, this requires that all leases have expired: those of the
-    /// predecessors, those that this owner granted, and those that the agent may have renewed
+    /// previous owners, those that this owner granted, and those that the agent may have renewed
     /// at a worker that has not answered for a whole `lease`.
     ///
     /// Only evidence that something may still run may delay this: a lease, or the worker's answer
--- a/crates/dispatch/src/awaited.rs
+++ b/crates/dispatch/src/awaited.rs
@@ -50,8 +50,9 @@
             .agents
             .iter()
             .filter(|(_, agent)| !agent.is_clear_of_predecessors(last, lease, now));
-        let lack =
-            |agent| CloseReason::of(agent, &self.settings, self.now).unwrap_or(CloseReason::Answer);
+        let lack = |agent| {
+            CloseReason::of(agent, &self.settings, self.now).unwrap_or(CloseReason::NoAnswer)
+        };
         agents.map(|(name, agent)| (name.clone(), lack(agent))).collect()
     }
 }
--- a/crates/dispatch/src/close_reason.rs
+++ b/crates/dispatch/src/close_reason.rs
@@ -1,56 +1,67 @@
 use crate::agent::Agent;
 use crate::settings::Settings;
 
-/// What keeps runs from starting at an agent's worker.
+/// Why a worker is closed, so that no runs may start there.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum CloseReason {
-    Link,
-    Worker,
-    Answer,
-    Broke,
-    Blame,
+    /// The agent is not connected, or is being removed from the members.
+    NoConnection,
+    /// The agent has no worker, or its worker has ended.
+    NoWorker,
+    /// The worker has not answered under this owner's epoch.
+    NoAnswer,
+    /// The worker has broken its connections just after starts, and may have crashed.
+    ConnectionsBroken,
+    /// Too many tasks of different jobs have failed there.
+    Failures,
+    /// The machine is about to go down for maintenance.
     Maintenance,
-    Evacuated,
+    /// Operators evacuate the worker's availability zone.
+    ZoneEvacuated,
+    /// The worker is draining.
     Draining,
+    /// The worker is late with an answer.
     Silent,
-    Lease,
-    Refusing,
+    /// A start would find no valid lease.
+    NoLease,
+    /// The worker is in a pause after it refused a start.
+    RefusesStarts,
 }
 
 impl CloseReason {
-    /// What is missing first; none if the worker is open.
+    /// Returns the first reason that applies to the agent's worker, or none if it is open.
     pub fn of(agent: &Agent, settings: &Settings, now: u64) -> Option<CloseReason> {
         let draining = agent.worker.as_ref().is_some_and(|worker| worker.draining);
-        let lacks = [
-            (agent.link.is_none() || agent.removal_pending, CloseReason::Link),
-            (agent.worker.is_none() || agent.worker_left, CloseReason::Worker),
-            (!agent.fenced, CloseReason::Answer),
-            (agent.crash.is_some(), CloseReason::Broke),
-            (agent.blame.until > 0, CloseReason::Blame),
-            (agent.refusals.until > 0, CloseReason::Refusing),
+        let reasons = [
+            (agent.link.is_none() || agent.removal_pending, CloseReason::NoConnection),
+            (agent.worker.is_none() || agent.worker_left, CloseReason::NoWorker),
+            (!agent.fenced, CloseReason::NoAnswer),
+            (agent.crash.is_some(), CloseReason::ConnectionsBroken),
+            (agent.blame.until > 0, CloseReason::Failures),
+            (agent.refusals.until > 0, CloseReason::RefusesStarts),
             (agent.cordoned || agent.shutdown_requested, CloseReason::Maintenance),
-            (agent.zone_evacuated, CloseReason::Evacuated),
+            (agent.zone_evacuated, CloseReason::ZoneEvacuated),
             (draining, CloseReason::Draining),
             (agent.silent_ms >= settings.mute, CloseReason::Silent),
-            (!agent.has_lease(settings, now), CloseReason::Lease),
+            (!agent.has_lease(settings, now), CloseReason::NoLease),
         ];
-        lacks.into_iter().find(|(holds, _)| *holds).map(|(_, lack)| lack)
+        reasons.into_iter().find(|(holds, _)| *holds).map(|(_, reason)| reason)
     }
 
-    /// Its words in the log.
+    /// Returns the reason as it is logged.
     pub fn name(self) -> &'static str {
         match self {
-            CloseReason::Link => "no connection",
-            CloseReason::Worker => "no worker known",
-            CloseReason::Answer => "worker has not answered",
-            CloseReason::Broke => "broke its connections",
-            CloseReason::Blame => "closed after failures",
+            CloseReason::NoConnection => "no connection",
+            CloseReason::NoWorker => "no worker known",
+            CloseReason::NoAnswer => "worker has not answered",
+            CloseReason::ConnectionsBroken => "broke its connections",
+            CloseReason::Failures => "closed after failures",
             CloseReason::Maintenance => "maintenance",
-            CloseReason::Evacuated => "zone evacuated",
+            CloseReason::ZoneEvacuated => "zone evacuated",
             CloseReason::Draining => "draining",
             CloseReason::Silent => "silent",
-            CloseReason::Lease => "no lease",
-            CloseReason::Refusing => "refuses starts",
+            CloseReason::NoLease => "no lease",
+            CloseReason::RefusesStarts => "refuses starts",
         }
     }
 }
--- a/crates/dispatch/src/detail.rs
+++ b/crates/dispatch/src/detail.rs
@@ -1,4 +1,4 @@
-//! What stands in a line about work that waits, after its cause.
+//! Details of log lines about waiting steps: what follows the cause.
 
 use quincewheel_job::{Incarnation, Worker};
 
@@ -8,30 +8,30 @@
 use crate::owner::Owner;
 use crate::waits::{StepKey, Wait};
 
-/// Most names in one line.
-const NAMES: usize = 8;
+/// Most names in one log line.
+const MAX_NAMES: usize = 8;
 
 impl Owner {
-    /// What an operator should look at.
+    /// Formats what an operator should check, depending on the cause of the wait.
     pub(crate) fn wait_detail(&self, group: &StepKey, wait: &Wait, now: u64) -> String {
         let Some(entry) = self.jobs.get(&group.0) else { return String::new() };
         let (room, whole) = wait.room;
         let room = format!("room for {room} of {}, for {whole} if nothing ran", wait.tasks);
         let label = entry.job.steps.get(group.2 as usize).map_or("", |step| &step.label);
         let closed = self.closed_workers(&self.pool_of(entry), label);
-        let shut = match closed.is_empty() {
+        let not_open = match closed.is_empty() {
             true => String::new(),
             false => format!("; not open: {}", list(closed.clone())),
         };
         match wait.cause {
             Cause::Unsettled => String::new(),
             Cause::Remains => format!("at {}", list(remains(entry, group))),
-            Cause::Unconfigured => format!("nothing is guaranteed yet; {room}{shut}"),
+            Cause::Unconfigured => format!("nothing is guaranteed yet; {room}{not_open}"),
             Cause::Pool => self.pool_of(entry),
             Cause::Label => format!("{label} in pool {}", self.pool_of(entry)),
             Cause::Closed => list(closed),
             Cause::Few | Cause::Room | Cause::Spared | Cause::Rack | Cause::Apart => {
-                format!("{room}{shut}")
+                format!("{room}{not_open}")
             }
             Cause::Reserved => reserved(entry, group, now),
             Cause::Clearance => self.clearance_detail(entry, group, now),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Workers that take nothing new, and why.
+    /// Returns the closed workers that the step could otherwise use, and why they are closed.
     fn closed_workers(&self, pool: &str, label: &str) -> Vec<String> {
         let labelled =
             |worker: &Worker| label.is_empty() || worker.labels.iter().any(|l| l == label);
@@ -54,7 +54,7 @@
             .collect()
     }
 
-    /// The agents of workers at which tasks of the step have failed.
+    /// Returns the agents of workers to which tasks of the step must not return after a failure.
     fn failed_at(&self, entry: &Entry, (_, occurrence, step): &StepKey, now: u64) -> Vec<String> {
         let slots = (*occurrence, *step, 0)..=(*occurrence, *step, u32::MAX);
         let failed = |worker: &Incarnation| {
@@ -67,7 +67,7 @@
         agents.map(|(name, _)| name.clone()).collect()
     }
 
-    /// What is known of where the step may run.
+    /// Formats for how many workers the step is cleared, and whether a request is in flight.
     fn clearance_detail(&self, entry: &Entry, (_, occurrence, step): &StepKey, now: u64) -> String {
         let asking = if self.advice_pending { "a question is out" } else { "no question is out" };
         let known = entry.clearances.get(&(*occurrence, *step));
@@ -76,12 +76,13 @@
     }
 }
 
-/// The agents of workers at which a step's tasks may run.
+/// Returns the agents of workers at which runs of the step may exist.
 fn remains(entry: &Entry, (_, occurrence, step): &StepKey) -> Vec<String> {
     let tasks = (*occurrence, *step, 0)..=(*occurrence, *step, u32::MAX);
     entry.runs.range(tasks).map(|(_, placed)| placed.agent.clone()).collect()
 }
 
+/// Formats where room is reserved for a step, and since when.
 fn reserved(entry: &Entry, (_, occurrence, step): &StepKey, now: u64) -> String {
     let Some(reservation) = entry.reservations.get(&(*occurrence, *step)) else {
         return String::new();
@@ -90,11 +91,11 @@
     format!("at {}, since {since} ms", list(reservation.agents.clone()))
 }
 
-/// Names in a line, the first few of them.
+/// Joins the first [`MAX_NAMES`] names and the number of the others.
 pub(crate) fn list(mut names: Vec<String>) -> String {
     names.dedup();
-    let more = names.len().saturating_sub(NAMES);
-    names.truncate(NAMES);
+    let more = names.len().saturating_sub(MAX_NAMES);
+    names.truncate(MAX_NAMES);
     let names = names.join(", ");
     if more > 0 { format!("{names} and {more} more") } else { names }
 }
--- a/crates/dispatch/src/guide.rs
+++ b/crates/dispatch/src/guide.rs
@@ -6,16 +6,16 @@
 use crate::entry::Entry;
 use crate::times::Times;
 
-/// What steps are expected to take.
+/// Estimates run times and objectives from learned run times and the size of the pools.
 pub(crate) struct Guide<'a> {
     /// Learned run times.
     pub times: &'a Times,
-    /// What the workers of each pool have in all.
+    /// Total capacity of the workers of each pool.
     pub pools: &'a BTreeMap<String, Need>,
 }
 
 impl Guide<'_> {
-    /// The goal of an occurrence of a job.
+    /// Returns the objective of an occurrence of a job.
     pub fn objective_of(&self, entry: &Entry, occurrence: u32) -> Goal {
         let job = &entry.job;
         let begin = job.schedule.map_or(job.accepted, |schedule| schedule.due(occurrence));
@@ -30,7 +30,8 @@
         Goal::open(begin, (whole, left), job.queue.stretch, job.queue.slack)
     }
 
-    /// How long a step of the job is expected to take, in milliseconds.
+    /// Returns the expected run time of a step of the job, in milliseconds. Tasks that do not fit
+    /// into the pool at once run in several rounds.
     pub fn estimate(&self, entry: &Entry, number: u32, step: &Step) -> u64 {
         let queue = &entry.job.queue;
         let known = entry.step_durations.get(&number).copied();
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,11 +1,10 @@
-//! The owner's side of jobs.
+//! Scheduling of jobs by the process that owns the deployment.
 //!
-//! An [`Owner`] holds all unfinished jobs and a picture of all workers. It
-//! decides what starts where, takes note of ends, and says what must be
-//! recorded in the table before a worker may forget it. It performs no I/O and
-//! reads no clock. Two clocks are inputs: one that also counts while the
-//! machine is suspended, for leases, and the time of day, for jobs that run at
-//! set times.
+//! An [`Owner`] holds the state of all unfinished jobs and all workers. It decides which task
+//! starts on which worker, processes the ends of runs, and returns what must be recorded in the
+//! table before a worker may discard it. It performs no I/O and reads no clock. Two clocks are
+//! inputs: a monotonic one that also advances while the machine is suspended, for leases, and the
+//! time of day, for scheduled jobs.
 
 mod advice;
 mod agent;
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -76,9 +76,9 @@
     pub(crate) replan: bool,
     /// When a majority of agents was first known to follow this owner.
     pub(crate) majority_since: Option<u64>,
-    /// Whether no predecessor can grant leases any more.
+    /// Whether no previous owner can grant leases any more.
     pub(crate) predecessor_ended: bool,
-    /// Whether every run that a predecessor may have started is accounted for.
+    /// Whether every run that a previous owner may have started is accounted for.
     pub(crate) settled: bool,
     /// Logging of members that delay the start of older jobs.
     pub(crate) awaited: Awaited,
@@ -183,9 +183,9 @@
         self.settings = Settings { lease, ..settings };
     }
 
-    /// Records that no predecessor can grant leases any more.
+    /// Records that no previous owner can grant leases any more.
     ///
-    /// A predecessor that may still run, cut off by the network, must be waited for until a
+    /// A previous owner that may still run, cut off by the network, must be waited for until a
     /// majority of agents follows this owner, or for as long as it may grant leases without the
     /// table. Where all processes were killed and half of the workers are lost, that delays
     /// older jobs by 14.2 s instead of a lease of 6.2 s.
@@ -194,12 +194,12 @@
         self.predecessor_ended = true;
     }
 
-    /// Returns whether every run that a predecessor may have started is accounted for.
+    /// Returns whether every run that a previous owner may have started is accounted for.
     pub fn is_settled(&self) -> bool {
         self.settled
     }
 
-    /// Loads the run times that a predecessor recorded.
+    /// Loads the run times that a previous owner recorded.
     pub fn restore_times(&mut self, times: &Times) {
         self.times = times.clone();
     }
--- a/crates/dispatch/src/pace.rs
+++ b/crates/dispatch/src/pace.rs
@@ -1,7 +1,6 @@
-//! Runs that stand still, and are better begun elsewhere.
+//! Detection of stalled runs, which are stopped and started on other workers.
 //!
-//! Tasks on a worker may stand still while it reports itself well; only their
-//! progress shows it.
+//! Tasks may stall on a worker that reports itself healthy, so only their progress shows it.
 
 use quincewheel_job::Step;
 use quincewheel_policy as policy;
@@ -10,15 +9,15 @@
 use crate::owner::Owner;
 
 impl Owner {
-    /// Stops runs at a worker that stand still, so that they start elsewhere,
-    /// and makes the worker the last choice.
+    /// Stops stalled runs on a worker, so that they start elsewhere, and prefers other workers
+    /// for a while.
     pub(crate) fn stop_stalled_runs(&mut self, name: &str, now: u64) {
         let mut found = Vec::new();
         for (id, entry) in &self.jobs {
             for (key, placed) in entry.runs.iter().filter(|(_, placed)| placed.agent == name) {
                 let Some(step) = entry.step(*key) else { continue };
-                let moved = entry.unit_progressed_at(placed);
-                if stands_still(step, placed, moved, now) {
+                let progressed_at = entry.unit_progressed_at(placed);
+                if is_stalled(step, placed, progressed_at, now) {
                     found.push((id.clone(), *key));
                 }
             }
@@ -37,7 +36,7 @@
         }
     }
 
-    /// The runs that stop together with this one.
+    /// Returns the runs of the same unit, which can only be stopped together.
     fn runs_in_unit(&self, id: &str, key: Key) -> Vec<Key> {
         let Some(entry) = self.jobs.get(id) else { return Vec::new() };
         let Some(unit) = entry.runs.get(&key).map(|placed| placed.unit) else { return Vec::new() };
@@ -46,9 +45,11 @@
     }
 }
 
-/// `moved` is when any run of the unit last got further: a member of a gang that
-/// is through waits for the others, which is no standstill.
-fn stands_still(step: &Step, placed: &Placement, moved: u64, now: u64) -> bool {
-    let still = now.saturating_sub(moved);
-    placed.phase == Phase::Running && !step.perpetual && policy::stands_still(step.estimate, still)
+/// Returns whether a run has stalled. `progressed_at` is when any run of its unit last made
+/// progress: a member of a gang that has finished and waits for the others has not stalled.
+fn is_stalled(step: &Step, placed: &Placement, progressed_at: u64, now: u64) -> bool {
+    let stalled_ms = now.saturating_sub(progressed_at);
+    placed.phase == Phase::Running
+        && !step.perpetual
+        && policy::stands_still(step.estimate, stalled_ms)
 }
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -54,7 +54,7 @@
         let mut jobs: Vec<(&Id, &Entry)> = self.jobs.iter().collect();
         jobs.sort_by_key(|(_, entry)| entry.version);
         for (id, entry) in jobs {
-            // Tasks of older jobs may run already, started by a predecessor. That is known only
+            // Tasks of older jobs may run already, started by a previous owner. That is known only
             // once all agents have reported.
             if entry.progress.state.ended() || (!settled && entry.version <= self.claim_version) {
                 continue;
@@ -114,12 +114,12 @@
         pools
     }
 
-    /// Returns whether every run that a predecessor may have started is accounted for: each
+    /// Returns whether every run that a previous owner may have started is accounted for: each
     /// agent's worker is reconciled, or its leases have expired.
     ///
-    /// A predecessor that does not know that it was replaced goes on granting leases while a
+    /// A previous owner that does not know that it was replaced goes on granting leases while a
     /// majority of agents is connected to it. So this also notes when a majority first follows
-    /// this owner, since the predecessor stops soon after.
+    /// this owner, since the previous owner stops soon after.
     pub(crate) fn check_settled(&mut self, now: u64) -> bool {
         let heard = self.agents.values().filter(|agent| agent.reconciled).count();
         if self.majority_since.is_none() && heard * 2 >= self.agents.len() {
@@ -129,13 +129,13 @@
         self.agents.values().all(|agent| agent.is_clear_of_predecessors(last, lease, now))
     }
 
-    /// Returns the latest time at which a predecessor may have granted a lease, and how long
+    /// Returns the latest time at which a previous owner may have granted a lease, and how long
     /// that lease lasts, margin included.
     pub(crate) fn predecessor_grants(&self) -> (u64, u64) {
         let last = match self.majority_since {
             None => self.claimed_at + self.settings.autonomy,
             Some(_) if self.predecessor_ended => self.claimed_at,
-            // A predecessor grants leases to all agents until the table has not confirmed it
+            // A previous owner grants leases to all agents until the table has not confirmed it
             // for `unconfirmed`. After that it needs a majority of agents, and agents that
             // follow this owner still count for it until their last notice is `fresh` old.
             Some(since) => {
@@ -145,7 +145,7 @@
         (last, self.settings.lease + self.settings.margin)
     }
 
-    /// Returns the agents whose workers may still run what a predecessor started.
+    /// Returns the agents whose workers may still run what a previous owner started.
     pub(crate) fn unreconciled_agents(&self) -> impl Iterator<Item = &str> {
         self.agents.iter().filter(|(_, agent)| !agent.reconciled).map(|(name, _)| name.as_str())
     }
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -1,8 +1,8 @@
-//! Telling why work whose turn has come does not start.
+//! Diagnosis and logging of why ready work does not start.
 //!
-//! Decisions are made only when something changes, and note then what keeps
-//! each step from starting. Lines are written when time passes, so also where
-//! nothing changes any more.
+//! Planning happens only when something changes, and records then what keeps each step from
+//! starting. The log lines are written by ticks, so that they appear even if nothing changes any
+//! more.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
 use crate::waits::StepKey;
 
 impl Owner {
-    /// How many steps have waited for long, by cause.
+    /// Returns how many steps have waited for at least a second, by cause.
     pub fn long_waits(&self) -> BTreeMap<Cause, usize> {
         let mut counts = BTreeMap::new();
         let long =
@@ -28,8 +28,7 @@
         counts
     }
 
-    /// Takes note of a step that waits for room that is being made, if it does.
-    /// False if no room is.
+    /// Records that a step waits for its reserved room. Returns false if it has none.
     pub(crate) fn record_reserved_wait(&mut self, candidate: &Candidate, now: u64) -> bool {
         let place = (candidate.occurrence, candidate.step);
         let reserved = |entry: &Entry| entry.reservations.contains_key(&place);
@@ -41,8 +40,8 @@
         true
     }
 
-    /// Takes note of what keeps tasks of a candidate from starting, if any still
-    /// wait. `restrictions` are those of the snapshot's workers.
+    /// Records what keeps tasks of a candidate from starting, if any still wait. `limits` holds
+    /// the restriction on each worker of the snapshot; empty if there are none.
     pub(crate) fn record_wait(
         &mut self,
         candidate: &Candidate,
@@ -59,8 +58,8 @@
         self.waits.record(key, (left, cause), room, now);
     }
 
-    /// Why so many tasks of a step do not start on these workers, how many fit
-    /// now, and how many would if nothing ran.
+    /// Returns why this number of tasks of a step does not start on the workers `spots`, how many
+    /// of them fit now, and how many would fit if nothing ran.
     pub(crate) fn cause(
         &self,
         (id, occurrence, number): &StepKey,
@@ -87,14 +86,14 @@
         Some((cause, tally.room()))
     }
 
-    /// Takes note of steps that are no candidates, though their turn has come.
+    /// Records waits of steps that are ready but are not candidates yet.
     pub(crate) fn record_held_back(&mut self, now: u64, wall: u64) {
         for (group, wait) in self.held_back(wall) {
             self.waits.record(group, wait, (0, 0), now);
         }
     }
 
-    /// Tells what had waited, and for what, once it waits no more.
+    /// Logs the steps that have started after waiting, and what they had waited for.
     pub(crate) fn log_ended_waits(&mut self, now: u64) {
         for (group, wait) in self.waits.end_round(now) {
             let (id, occurrence, step) = &group;
@@ -109,7 +108,7 @@
         }
     }
 
-    /// Writes the lines that are due.
+    /// Writes the log lines that are due.
     pub(crate) fn log_waits(&mut self, now: u64, wall: u64) {
         self.tell_unsettled(now, wall);
         self.review_waits(now);
@@ -118,8 +117,8 @@
         }
         let jobs = &self.jobs;
         self.waits.retain(|group, _| is_open(jobs, &group.0));
-        let (told, left) = self.waits.take_due_lines(now);
-        for (group, wait) in told {
+        let (due, left) = self.waits.take_due_lines(now);
+        for (group, wait) in due {
             let (id, occurrence, step) = &group;
             let name = format!("{id}.{occurrence}.{step}, {} tasks", wait.tasks);
             let (ms, cause) = (now - wait.waiting_since, wait.cause.name());
@@ -131,8 +130,8 @@
         }
     }
 
-    /// Forgets steps that a new owner held back and that turned out to run.
-    /// Returns how many it still holds back.
+    /// Drops the waits of unsettled steps that have turned out to run. Returns how many steps are
+    /// still unsettled.
     pub(crate) fn prune_held_back(&mut self, wall: u64) -> usize {
         let held: BTreeSet<StepKey> = self
             .held_back(wall)
@@ -144,8 +143,8 @@
         held.len()
     }
 
-    /// Steps that wait for members of a new owner, or for what is left of a
-    /// former start.
+    /// Returns steps that wait because a previous owner may have started them, or because runs of
+    /// an earlier start of their gang may still exist.
     fn held_back(&self, wall: u64) -> Vec<(StepKey, (usize, Cause))> {
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter().filter(|(_, entry)| !entry.progress.state.ended()) {
@@ -169,7 +168,7 @@
         found
     }
 
-    /// Why the open workers could not hold tasks if nothing ran.
+    /// Returns why the open workers could not hold the tasks even if nothing else ran.
     fn closed_or_too_few(&self, ask: &Ask<'_>, tally: &Tally<'_>) -> Cause {
         let label = &ask.step.label;
         let pool = || {
@@ -190,7 +189,7 @@
     }
 }
 
-/// The steps of all occurrences whose time has come.
+/// Returns the steps of all occurrences that are due.
 fn due_steps(entry: &Entry, wall: u64) -> impl Iterator<Item = (u32, u32, &Step)> {
     let schedule = entry.job.schedule;
     let due = move |occurrence: &u32| schedule.is_none_or(|s| s.due(*occurrence) <= wall);
@@ -201,7 +200,7 @@
     (0..entry.job.occurrences()).take_while(due).flat_map(steps)
 }
 
-/// Tasks of a gang that cannot start since others of it may still run.
+/// Returns the number of a gang's tasks that cannot start because other members may still run.
 fn remains(entry: &Entry, occurrence: u32, number: u32, step: &Step) -> usize {
     if !step.gang || !entry.has_runs(occurrence, number) {
         return 0;
@@ -225,5 +224,5 @@
     let all: usize = left.values().sum();
     let causes: Vec<String> =
         left.iter().map(|(cause, count)| format!("{count} {}", cause.name())).collect();
-    format!("{all} more wait and were not told this second: {}", causes.join(", "))
+    format!("{all} more wait and were not due this second: {}", causes.join(", "))
 }
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -4,20 +4,25 @@
 
 use crate::cause::Cause;
 
-/// What is kept from a step at a place although it is free.
+/// Why a step must not use the free capacity of a worker, in the order in which
+/// [`Tally::cause`] lifts the restrictions.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Restriction {
     None,
+    /// Kept free for more urgent work.
     Spared,
+    /// The step is not cleared for the worker.
     Uncleared,
+    /// Tasks of the step have failed there recently.
     Avoided,
+    /// A crash there could not be attributed to one task.
     Apart,
 }
 
-/// Room for tasks of one step, by what restrictions the step from it.
+/// How many tasks of one step fit on the workers, by restriction.
 #[derive(Debug, Default)]
 pub(crate) struct Tally<'a> {
-    /// Filled only for a gang that wants one rack.
+    /// Sums by rack; filled only for a gang that must be in a single rack.
     racks: BTreeMap<&'a str, Sums>,
     all: Sums,
     count: u64,
@@ -27,7 +32,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Sums {
-    /// Tasks that fit into what is free, by restriction.
+    /// Tasks that fit into free capacity, by restriction.
     free: [u64; 5],
     /// Tasks that would fit if nothing ran; counted until it is enough.
     whole: u64,
@@ -41,9 +46,10 @@
 }
 
 impl<'a> Tally<'a> {
-    /// Counts in one pass over the workers; `restrictions` has one for each of them,
-    /// or none at all if nothing is barred and all that fits was started: then
-    /// nothing fits of a step that is no gang, and a few workers tell the rest.
+    /// Counts in one pass over the workers. `restrictions` has one for each of them. It is empty
+    /// if there are no restrictions and all tasks that fit were started: then nothing more fits
+    /// of a step that is not a gang, so the pass ends once enough workers are counted for
+    /// [`Sums::whole`].
     pub fn count(spots: &'a [Spot], restrictions: &[Restriction], ask: &Ask<'_>) -> Tally<'a> {
         let mut tally = Tally {
             count: u64::from(ask.count),
@@ -53,8 +59,8 @@
         };
         let need = ask.step.charge();
         for (place, spot) in spots.iter().enumerate().filter(|(_, spot)| ask.allows(spot)) {
-            // Most places of a full pool hold nothing more, and the first few workers
-            // would hold all if they were empty: divisions are left out there.
+            // Saves divisions: most workers of a full pool have no room left, and the first few
+            // would hold all tasks if they were empty.
             let fits = need.fits(&spot.free);
             let free = if fits { ask.copies(place, &spot.free) } else { 0 };
             let known = !tally.same_rack && tally.all.whole >= tally.count;
@@ -72,8 +78,8 @@
         tally
     }
 
-    /// What keeps the tasks from starting on the open workers: the least that
-    /// would have to be lifted.
+    /// Returns what keeps the tasks from starting on the open workers: the first restriction in
+    /// order that would have to be lifted.
     pub fn cause(&self) -> Cause {
         if !self.would_hold(0) {
             return Cause::Few;
@@ -93,24 +99,24 @@
         if some_rack { Cause::Rack } else { Cause::Room }
     }
 
-    /// How many of the tasks fit now, and how many would if nothing ran.
+    /// Returns how many of the tasks fit now, and how many would fit if nothing ran.
     pub fn room(&self) -> (u64, u64) {
         let free: u64 = self.all.free.iter().sum();
         (free.min(self.count), self.all.whole.min(self.count))
     }
 
-    /// True if the workers, and others that hold so many `more`, could hold the
-    /// tasks if nothing ran.
+    /// Returns whether the workers, and others that could hold `more` tasks, could hold the tasks
+    /// if nothing ran.
     pub fn would_hold(&self, more: u64) -> bool {
         self.all.whole + more >= self.wanted()
     }
 
-    /// Tasks that start together, or one.
+    /// Returns the least number of tasks that can start: all of a gang, otherwise one.
     fn wanted(&self) -> u64 {
         if self.gang { self.count } else { 1 }
     }
 
-    /// True if the tasks could start if all restrictions up to this one were lifted.
+    /// Returns whether the tasks could start if all restrictions up to this one were lifted.
     fn holds(&self, restriction: Restriction) -> bool {
         let free = |sums: &Sums| sums.free[..=restriction as usize].iter().sum::<u64>();
         if self.same_rack && self.racks.values().any(|sums| sums.whole >= self.count) {
--- a/crates/dispatch/src/throttle.rs
+++ b/crates/dispatch/src/throttle.rs
@@ -1,9 +1,8 @@
-//! Tasks that fill what others leave idle give way to tasks that serve.
+//! Throttling of tasks that use idle capacity in favour of tasks that serve requests.
 //!
-//! Tasks on one worker share more than its room says: one that fills slows its
-//! neighbours down, by amounts that nobody knows beforehand. A task that serves
-//! tells the tail of its response times, so the share at which its neighbours
-//! work follows that figure.
+//! Tasks on one worker share more resources than those that are scheduled, so a filling task
+//! slows its neighbours down by an amount that cannot be predicted. A serving task reports its
+//! tail latency, and the pace of the filling tasks next to it is adjusted to that.
 
 use quincewheel_job::Run;
 use quincewheel_policy::share;
@@ -14,8 +13,9 @@
 use crate::reports::key;
 
 impl Owner {
-    /// Sets the pace of the tasks that fill one worker by how those that serve
-    /// there do. Given again each time while they are over: an order may be lost.
+    /// Sets the pace of the filling tasks on a worker from the load of the serving tasks there.
+    /// While the load exceeds the target, the order is repeated with each status, since it may
+    /// be lost.
     pub(crate) fn throttle(&mut self, name: &str, running: &[Run]) {
         let Some(load) = self.max_load(running) else { return };
         let mut orders = Vec::new();
@@ -41,8 +41,8 @@
         }
     }
 
-    /// The worst of the tasks that serve, in percent of its target; none if
-    /// none serves.
+    /// Returns the highest latency of the serving tasks in percent of their targets; none if
+    /// there is no serving task.
     fn max_load(&self, running: &[Run]) -> Option<u64> {
         let loads = running.iter().filter_map(|run| {
             let step = self.jobs.get(&run.task.job)?.step(key(&run.task))?;
@@ -51,13 +51,12 @@
         loads.max()
     }
 
-    /// How many more runs of a lasting step may be taken away. What the system
-    /// takes away is bounded for each step, together with what is away for any
-    /// other cause.
+    /// Returns how many more runs of a perpetual step may be stopped. The limit on missing tasks
+    /// also counts those that are missing for other reasons, such as failures.
     pub(crate) fn disruption_budget(&self, id: &str, occurrence: u32, number: u32) -> u32 {
         let Some(entry) = self.jobs.get(id) else { return 0 };
         let Some(step) = entry.job.steps.get(number as usize) else { return 0 };
-        let at_work = (0..step.count).filter(|&index| {
+        let serving = (0..step.count).filter(|&index| {
             let at: Key = (occurrence, number, index);
             let placed = entry.runs.get(&at);
             placed.is_some_and(|placed| {
@@ -66,7 +65,7 @@
                 placed.phase == Phase::Running && placed.percent >= 100 && !doomed
             })
         });
-        let away = step.count - at_work.count() as u32;
-        step.may_miss.saturating_sub(away)
+        let missing = step.count - serving.count() as u32;
+        step.may_miss.saturating_sub(missing)
     }
 }
--- a/crates/dispatch/src/times.rs
+++ b/crates/dispatch/src/times.rs
@@ -1,48 +1,46 @@
-//! Run times, learned from steps that ended.
+//! Run time estimates learned from completed steps.
 //!
-//! A client's estimate may be off by tenfold, in either direction, and what a
-//! job's objective is, when it must start and whether it may still end in time
-//! all follow from its run time. Where a queue's estimates say little, the run
-//! times of its earlier steps say more. Each queue shows which is the better
-//! guide: how much run times differ from one another against how much they
-//! differ from their estimates.
+//! A client's estimate may be wrong by a factor of ten in either direction, while a job's
+//! objective, its latest start and whether it can end in time all depend on its run time. Where a
+//! queue's estimates are poor, run times of earlier steps predict better. The two are weighted
+//! for each queue by the variance of its run times and that of their ratio to the estimates.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What is known of run times, by queue.
+/// Statistics of run times, by queue. They are stored in the table.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Times {
     queues: BTreeMap<String, Sums>,
 }
 
-/// Sums over the logarithms of one queue's run times: they spread over more
-/// than a decade, so that their plain mean would be that of the longest.
+/// Sums over the logarithms of one queue's run times. Run times spread over more than a decade,
+/// so the longest ones would dominate an arithmetic mean.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 struct Sums {
     count: f64,
     time: f64,
     time_squares: f64,
-    /// Of run time to estimate.
+    /// Sum of the logarithms of the ratio of run time to estimate.
     ratio: f64,
     ratio_squares: f64,
 }
 
-/// Steps of a queue below which its estimates are taken as they are.
-const FEW: f64 = 3.0;
-/// Older steps count half once there are so many, so that a queue whose work
-/// changes is followed within as many again.
-const MANY: f64 = 64.0;
-/// Least variance of either guide, as natural logarithms squared: a tenth up or
-/// down. A few equal samples prove no certainty.
-const LEAST: f64 = 0.01;
+/// Number of completed steps below which a queue's estimates are used unchanged.
+const MIN_STEPS: f64 = 3.0;
+/// When this many steps are counted, the weight of all of them is halved, so that the estimates
+/// adapt within as many further steps when a queue's work changes.
+const HALVING_COUNT: f64 = 64.0;
+/// Lower bound of both variances, in squares of natural logarithms: a deviation of a tenth. A
+/// few equal samples must not count as certainty.
+const MIN_VARIANCE: f64 = 0.01;
 
 impl Times {
-    /// A step of the queue that was estimated at `estimate` ms took `took` ms.
+    /// Adds a completed step of the queue, with its estimate and run time in milliseconds.
     pub fn record(&mut self, queue: &str, estimate: u64, took: u64) {
         let sums = self.queues.entry(queue.to_owned()).or_default();
-        if sums.count >= MANY {
+        if sums.count >= HALVING_COUNT {
             sums.halve();
         }
         let time = (took.max(1) as f64).ln();
@@ -54,9 +52,10 @@
         sums.ratio_squares += ratio * ratio;
     }
 
-    /// How long a step of the queue is expected to take, in milliseconds.
+    /// Returns the expected run time of a step of the queue, given the client's estimate, both in
+    /// milliseconds.
     pub fn estimate(&self, queue: &str, estimate: u64) -> u64 {
-        let Some(sums) = self.queues.get(queue).filter(|sums| sums.count >= FEW) else {
+        let Some(sums) = self.queues.get(queue).filter(|sums| sums.count >= MIN_STEPS) else {
             return estimate;
         };
         let (time, spread) = moments(sums.time, sums.time_squares, sums.count);
@@ -81,8 +80,8 @@
     }
 }
 
-/// Mean and variance.
+/// Returns the mean, and the variance or [`MIN_VARIANCE`] if that is higher.
 fn moments(sum: f64, squares: f64, count: f64) -> (f64, f64) {
     let mean = sum / count;
-    (mean, (squares / count - mean * mean).max(LEAST))
+    (mean, (squares / count - mean * mean).max(MIN_VARIANCE))
 }
--- a/crates/dispatch/src/waits.rs
+++ b/crates/dispatch/src/waits.rs
@@ -4,87 +4,88 @@
 
 use crate::cause::Cause;
 
-/// Nothing is told of work that has waited for less, in milliseconds. Most room
-/// is made and most short work ends within it: a stop takes up to 900. After a
-/// second a client's objective of a few seconds is at risk.
+/// Waits shorter than this are not logged while they last. Within this time most room is made
+/// and most short work ends, as a stop takes up to 900 ms; beyond it, objectives of a few seconds
+/// are at risk.
 pub(crate) const MIN_LOGGED_WAIT_MS: u64 = 1000;
-/// A wait that is over is told if it took so many milliseconds: more than the ways to
-/// the table, the owner and a worker, and a good part of what urgent work has to spare.
+/// A wait that has ended is logged if it lasted at least this long: more than the latency of
+/// table, owner and worker together, and a good part of the slack of urgent work.
 const MIN_LOGGED_ENDED_WAIT_MS: u64 = 100;
-/// Lines in a second over all jobs: what a reader can follow. A full pool may
-/// have thousands of jobs waiting.
+/// Most lines in a second over all jobs, so that a reader can follow them. With a full pool,
+/// thousands of jobs may wait.
 const MAX_LINES_PER_SECOND: usize = 10;
-/// The second, in milliseconds.
+/// Length of the interval to which [`MAX_LINES_PER_SECOND`] applies.
 const SECOND_MS: u64 = 1000;
 
-/// The tasks of one step: job, occurrence, step.
+/// Identifies one occurrence of a step: job, occurrence, step.
 pub(crate) type StepKey = (Id, u32, u32);
 
-/// A step whose turn has come and of which tasks wait for their start.
+/// The wait of a step's tasks that are ready and have not started.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Wait {
-    /// When it was first seen to wait.
+    /// When a round of planning first left tasks of the step waiting.
     pub waiting_since: u64,
-    /// Tasks that wait.
+    /// Number of tasks that wait.
     pub tasks: usize,
     /// What they wait for.
     pub cause: Cause,
-    /// How many of them fit now, and how many would if nothing ran.
+    /// How many of the tasks fit now, and how many would fit if nothing ran.
     pub room: (u64, u64),
-    /// Milliseconds for which each cause kept them, up to `noted`.
+    /// Milliseconds spent waiting for each cause, up to `cause_updated_at`.
     spent_ms: [u64; Cause::ALL.len()],
-    /// When the cause was noted last.
+    /// When the cause was last updated.
     cause_updated_at: u64,
-    /// The cause that was told last.
+    /// The cause that was last logged.
     logged_cause: Option<Cause>,
-    /// No line before this time.
+    /// Earliest time of the next log line.
     next_line_at: u64,
-    /// The round of decisions that saw it last.
+    /// The last round of planning in which the step waited.
     round: u64,
 }
 
-/// Everything whose turn has come and that has not started, and what was told
-/// of it.
+/// All steps that wait, and what has been logged about them.
 #[derive(Debug, Default)]
 pub(crate) struct Waits {
-    groups: BTreeMap<StepKey, Wait>,
+    steps: BTreeMap<StepKey, Wait>,
+    /// Number of the present round of planning.
     round: u64,
-    /// When there may be something to tell; none if not before a change.
+    /// When a line may be due; none if not before a cause changes.
     next_line_at: Option<u64>,
-    /// When the current second of lines began, and how many it has.
+    /// When the present second of the rate limit began.
     second_began_at: u64,
+    /// Lines written in the present second.
     lines_in_second: usize,
 }
 
 impl Waits {
-    /// A round of decisions begins.
+    /// Begins a round of planning.
     pub fn begin_round(&mut self) {
         self.round += 1;
     }
 
-    /// Tasks of a step wait, in this round.
+    /// Records that tasks of a step wait in this round, and why.
     pub fn record(
         &mut self,
-        group: StepKey,
+        step: StepKey,
         (tasks, cause): (usize, Cause),
         room: (u64, u64),
         now: u64,
     ) {
         let round = self.round;
         let spent = [0; Cause::ALL.len()];
-        let (noted, next) = (now, now + MIN_LOGGED_WAIT_MS);
+        let (updated_at, next) = (now, now + MIN_LOGGED_WAIT_MS);
         let new = Wait {
             waiting_since: now,
             tasks,
             cause,
             room,
             spent_ms: spent,
-            cause_updated_at: noted,
+            cause_updated_at: updated_at,
             logged_cause: None,
             next_line_at: next,
             round,
         };
-        let wait = self.groups.entry(group).or_insert(new);
+        let wait = self.steps.entry(step).or_insert(new);
         wait.add_elapsed(now);
         *wait = Wait { tasks, cause, room, round, ..*wait };
         if wait.needs_line() {
@@ -93,47 +94,47 @@
         }
     }
 
-    /// The round is over: what was not seen in it waits no more. Returns what had
-    /// waited for [`MIN_LOGGED_ENDED_WAIT_MS`].
+    /// Ends the round. Steps that were not recorded in it no longer wait; those that had waited
+    /// for at least [`MIN_LOGGED_ENDED_WAIT_MS`] are returned.
     pub fn end_round(&mut self, now: u64) -> Vec<(StepKey, Wait)> {
         let round = self.round;
-        let over = self.groups.extract_if(.., |_, wait| wait.round != round);
+        let over = self.steps.extract_if(.., |_, wait| wait.round != round);
         let long = over.filter(|(_, wait)| now >= wait.waiting_since + MIN_LOGGED_ENDED_WAIT_MS);
-        let spend = |(group, mut wait): (StepKey, Wait)| {
+        let spend = |(step, mut wait): (StepKey, Wait)| {
             wait.add_elapsed(now);
-            (group, wait)
+            (step, wait)
         };
         long.map(spend).collect()
     }
 
-    /// Steps that wait for room on workers, or for workers: what a change of the
-    /// workers alone may give another cause.
+    /// Returns the steps that wait for workers or for room on them, so that a change of the
+    /// workers alone may change the cause.
     pub fn waiting_for_workers(&self) -> Vec<(StepKey, Wait)> {
-        let waits = self.groups.iter().filter(|(_, wait)| wait.cause.depends_on_workers());
-        waits.map(|(group, wait)| (group.clone(), *wait)).collect()
+        let waits = self.steps.iter().filter(|(_, wait)| wait.cause.depends_on_workers());
+        waits.map(|(step, wait)| (step.clone(), *wait)).collect()
     }
 
-    /// Forgets what waits no more.
+    /// Keeps only the waits for which `waits` returns true.
     pub fn retain(&mut self, waits: impl Fn(&StepKey, &Wait) -> bool) {
-        self.groups.retain(|group, wait| waits(group, wait));
+        self.steps.retain(|step, wait| waits(step, wait));
     }
 
-    /// What has waited for long, and for what.
+    /// Returns the steps that have waited for at least [`MIN_LOGGED_WAIT_MS`], and why.
     pub fn long_waits(&self, now: u64) -> impl Iterator<Item = (&StepKey, Cause)> {
         let long = self
-            .groups
+            .steps
             .iter()
             .filter(move |(_, wait)| now >= wait.waiting_since + MIN_LOGGED_WAIT_MS);
-        long.map(|(group, wait)| (group, wait.cause))
+        long.map(|(step, wait)| (step, wait.cause))
     }
 
-    /// True if there may be something to tell.
+    /// Returns whether a line may be due.
     pub fn has_due_lines(&self, now: u64) -> bool {
         self.next_line_at.is_some_and(|due| due <= now)
     }
 
-    /// What is to be told now, those that have waited longest first, and how
-    /// many are left out, by cause. The latter only once a second.
+    /// Returns the waits to log now, longest first, and the number of those that exceed the rate
+    /// limit by cause. The latter is empty except in the first call of each second.
     pub fn take_due_lines(&mut self, now: u64) -> (Vec<(StepKey, Wait)>, BTreeMap<Cause, usize>) {
         if now >= self.second_began_at + SECOND_MS {
             self.second_began_at = now;
@@ -141,31 +142,31 @@
         }
         let fresh = self.lines_in_second < MAX_LINES_PER_SECOND;
         let mut ready: Vec<(&StepKey, &mut Wait)> =
-            self.groups.iter_mut().filter(|(_, wait)| wait.needs_line()).collect();
+            self.steps.iter_mut().filter(|(_, wait)| wait.needs_line()).collect();
         let later =
             ready.iter().map(|(_, wait)| wait.next_line_at).filter(|next| *next > now).min();
         ready.retain(|(_, wait)| wait.next_line_at <= now);
         ready.sort_by_key(|(_, wait)| wait.waiting_since);
         let rest = ready.split_off(ready.len().min(MAX_LINES_PER_SECOND - self.lines_in_second));
-        let told =
-            ready.into_iter().map(|(group, wait)| (group.clone(), wait.mark_logged(now))).collect();
+        let due =
+            ready.into_iter().map(|(step, wait)| (step.clone(), wait.mark_logged(now))).collect();
         let mut left = BTreeMap::new();
         rest.iter().for_each(|(_, wait)| *left.entry(wait.cause).or_default() += 1);
         let again = (!left.is_empty()).then_some(self.second_began_at + SECOND_MS);
         self.next_line_at = [later, again].into_iter().flatten().min();
-        self.lines_in_second += Vec::len(&told);
-        (told, if fresh { left } else { BTreeMap::new() })
+        self.lines_in_second += Vec::len(&due);
+        (due, if fresh { left } else { BTreeMap::new() })
     }
 }
 
 impl Wait {
-    /// True if its cause has not been told. What waits for members of a new
-    /// owner is told once for all.
+    /// Returns whether the present cause has not been logged. Waits of unsettled jobs are logged
+    /// by the owner in one line for all of them.
     fn needs_line(&self) -> bool {
         self.logged_cause != Some(self.cause) && self.cause != Cause::Unsettled
     }
 
-    /// Milliseconds by cause, without those that took none.
+    /// Returns the milliseconds spent on each cause that is not zero.
     pub fn spent(&self) -> impl Iterator<Item = (Cause, u64)> {
         let all = Cause::ALL.into_iter().zip(self.spent_ms);
         all.filter(|(_, ms)| *ms > 0)
