--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -224,5 +224,5 @@
     let all: usize = left.values().sum();
     let causes: Vec<String> =
         left.iter().map(|(cause, count)| format!("{count} {}", cause.name())).collect();
-    format!("{all} more wait and were not due this second: {}", causes.join(", "))
+    format!("{all} more wait and were not told this second: {}", causes.join(", "))
 }
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -8,6 +8,7 @@
 /// [`Tally::cause`] lifts the restrictions.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Restriction {
+    /// The capacity may be used.
     None,
     /// Kept free for more urgent work.
     Spared,
