--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -5,7 +5,7 @@
 use crate::close_reason::CloseReason;
 use crate::refusals::Refusals;
 use crate::settings::Settings;
-use crate::suspects::Crash;
+use crate::suspects::SuspectedCrash;
 
 /// The owner's state of one agent and its worker.
 #[derive(Clone, Debug, Default)]
@@ -40,7 +40,7 @@
     pub blame: Blame,
     /// The starts just before the worker broke its connections, if it has not answered since.
     /// Should the worker turn out to have ended, one of them has crashed it.
-    pub crash: Option<Crash>,
+    pub crash: Option<SuspectedCrash>,
     /// Starts that the worker has refused recently.
     pub refusals: Refusals,
     /// Whether the worker has ended, and no other has reported since.
@@ -82,8 +82,9 @@
     /// agent itself responds. Otherwise it would stay a member although its worker has ended,
     /// and each later owner would wait for it.
     pub fn update_liveness(&mut self, settings: &Settings, now: u64) {
-        let lease = settings.lease + settings.margin;
-        let responds = self.link.is_some() && self.fenced && self.silent_ms < settings.overdue;
+        let lease = settings.lease + settings.lease_margin;
+        let responds =
+            self.link.is_some() && self.fenced && self.silent_ms < settings.answer_overdue;
         match responds || self.worker.is_none() {
             true => self.unresponsive_since = None,
             false => {
@@ -123,7 +124,7 @@
     /// refuses a start when less than a fourth of its lease is left; an owner that did not check
     /// this while it grants no leases would be refused hundreds of times a second.
     pub fn has_lease(&self, settings: &Settings, now: u64) -> bool {
-        now + settings.lease / 4 + settings.margin < self.leases_expire_at
+        now + settings.lease / 4 + settings.lease_margin < self.leases_expire_at
     }
 
     /// Returns whether runs may start there.
--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -1,4 +1,7 @@
-//! Applies what speaks against workers.
+//! Failures of tasks counted against workers.
+//!
+//! A task avoids a worker at which it failed, and a worker that fails the tasks of several jobs is
+//! closed for a while.
 
 use std::collections::BTreeSet;
 
@@ -7,16 +10,17 @@
 
 use crate::candidate::Candidate;
 use crate::owner::Owner;
-use crate::reports::key;
+use crate::reports::task_key;
 use crate::snapshot::Snapshot;
 
 impl Owner {
-    /// Takes note of a failure at an agent's worker.
-    pub(crate) fn blame(&mut self, name: &str, task: &Task, now: u64) {
+    /// Records a failure of a task at an agent's worker, and closes the worker if that is due. The
+    /// number of closed workers is bounded.
+    pub(crate) fn record_failure(&mut self, name: &str, task: &Task, now: u64) {
         if let Some(entry) = self.jobs.get_mut(&task.job)
             && let Some(worker) = self.agents.get(name).and_then(|agent| agent.worker.as_ref())
         {
-            let slot = entry.slot(key(task));
+            let slot = entry.slot(task_key(task));
             let until = now + AVOIDED;
             entry.avoided_workers.entry(slot).or_default().insert(worker.incarnation(), until);
             self.avoidance_ends_at = Some(self.avoidance_ends_at.map_or(until, |at| at.min(until)));
@@ -26,15 +30,15 @@
         let Some(agent) = self.agents.get_mut(name) else { return };
         if agent.blame.note(&task.job) && closed < most {
             let ms = agent.blame.close(now);
-            self.log("worker closed", name, format!("for {ms} ms: all that it starts fails"));
+            self.log("worker closed", name, format!("for {ms} ms: all recent tasks there failed"));
         }
     }
 
-    /// Opens workers whose time is over, and lets tasks return to workers.
-    pub(crate) fn reopen(&mut self, now: u64) {
+    /// Reopens workers whose closure has expired, and lets tasks return to workers that they avoided.
+    pub(crate) fn reopen_workers(&mut self, now: u64) {
         if self.avoidance_ends_at.take_if(|at| *at <= now).is_some() {
             self.replan = true;
-            self.avoidance_ends_at = self.next_return(now);
+            self.avoidance_ends_at = self.next_avoid_expiry(now);
         }
         for agent in self.agents.values_mut().filter(|agent| agent.blame.until > 0) {
             if now >= agent.blame.until {
@@ -44,14 +48,15 @@
         }
     }
 
-    /// When the next task may return to a worker at which it failed.
-    fn next_return(&self, now: u64) -> Option<u64> {
+    /// The earliest time at which a task may return to a worker that it avoids.
+    fn next_avoid_expiry(&self, now: u64) -> Option<u64> {
         let entries = self.jobs.values().flat_map(|entry| entry.avoided_workers.values());
         entries.flat_map(|workers| workers.values().copied()).filter(|until| *until > now).min()
     }
 
-    /// The places of workers at which tasks of the candidate have failed.
-    pub(crate) fn avoided(
+    /// The places of workers that the candidate avoids because its tasks failed there. Bounded, so
+    /// that some places stay open.
+    pub(crate) fn avoided_places(
         &self,
         candidate: &Candidate,
         snapshot: &Snapshot,
--- a/crates/dispatch/src/close_reason.rs
+++ b/crates/dispatch/src/close_reason.rs
@@ -42,7 +42,7 @@
             (agent.cordoned || agent.shutdown_requested, CloseReason::Maintenance),
             (agent.zone_evacuated, CloseReason::ZoneEvacuated),
             (draining, CloseReason::Draining),
-            (agent.silent_ms >= settings.mute, CloseReason::Silent),
+            (agent.silent_ms >= settings.unresponsive_after, CloseReason::Silent),
             (!agent.has_lease(settings, now), CloseReason::NoLease),
         ];
         reasons.into_iter().find(|(holds, _)| *holds).map(|(_, reason)| reason)
--- a/crates/dispatch/src/dismissal.rs
+++ b/crates/dispatch/src/dismissal.rs
@@ -1,7 +1,7 @@
-//! Agents whose rows are dropped, or were.
+//! Agents whose rows are being deleted or have been.
 //!
-//! A later owner waits for agents that have rows. An agent without one must get no work
-//! and no lease: a later owner would start elsewhere what runs there.
+//! A new owner waits only for agents that have rows. An agent without a row must get no work and no
+//! lease, or a new owner would start its tasks a second time elsewhere.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,34 @@
 use crate::output::Output;
 use crate::owner::Owner;
 
-/// What stays of agents that were dismissed, until they announce themselves.
+/// State kept of dismissed agents until they announce themselves again.
 #[derive(Debug, Default)]
 pub(crate) struct Dismissal {
-    former: BTreeMap<String, Former>,
+    former: BTreeMap<String, DismissedAgent>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Former {
-    /// All leases that were granted through the agent have lapsed by then.
+struct DismissedAgent {
+    /// When all leases granted through the agent have expired, in milliseconds.
     lapse: u64,
-    /// For how long its worker had owed an answer.
+    /// For how long its worker had owed an answer, in milliseconds.
     silent: u64,
 }
 
 impl Dismissal {
     /// True if the agent was dismissed and has not announced itself since.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.former.contains_key(name)
     }
 
-    /// True if all that ran at a dismissed agent has lapsed.
-    pub fn lapsed(&self, name: &str, now: u64) -> bool {
+    /// True if the agent was dismissed and all its leases have expired.
+    pub fn has_lapsed(&self, name: &str, now: u64) -> bool {
         self.former.get(name).is_some_and(|former| now >= former.lapse)
     }
 
-    /// What is known of an agent that announces itself again. Its worker gets nothing
-    /// new on the strength of an old answer: the first ping tells how silent it is.
-    pub fn recall(&mut self, name: &str, agent: Agent) -> Agent {
+    /// Restores the state of a dismissed agent that announces itself again. Its worker stays
+    /// unresponsive until the first ping reports otherwise, so an old answer gets it no work.
+    pub fn readmit(&mut self, name: &str, agent: Agent) -> Agent {
         let Some(former) = self.former.remove(name) else { return agent };
         Agent {
             leases_expire_at: agent.leases_expire_at.max(former.lapse),
@@ -47,34 +47,34 @@
 }
 
 impl Owner {
-    /// The rows of these agents are about to be dropped. Nothing starts there while
-    /// the write is under way, or a run would belong to no member once it is done.
-    pub(crate) fn begin_dismissal(&mut self, names: &[String], begun: bool) {
+    /// Marks whether the rows of these agents are being deleted. Nothing starts there while the
+    /// write is in flight, or a run could end up at an agent that is no member.
+    pub(crate) fn set_dropping(&mut self, names: &[String], dropping: bool) {
         for name in names {
             if let Some(agent) = self.agents.get_mut(name) {
-                agent.removal_pending = begun;
-                self.replan |= !begun;
+                agent.removal_pending = dropping;
+                self.replan |= !dropping;
             }
         }
     }
 
     /// True if the agent was dismissed and has not announced itself since.
     pub fn is_dismissed(&self, name: &str) -> bool {
-        self.dismissal.holds(name)
+        self.dismissal.contains(name)
     }
 
-    /// The table's feed tells that an agent's row was dropped. The agent may have
-    /// announced itself just before that, and the feed told it just now.
-    pub fn unlisted(&mut self, name: &str) {
+    /// Handles the deletion of an agent's row, as read from the table's changes. The agent may
+    /// have announced itself just before, with both changes read now.
+    pub fn on_row_removed(&mut self, name: &str) {
         self.dismiss(name);
     }
 
-    /// An agent's row is gone: it must announce itself before work goes there.
+    /// Removes an agent whose row was deleted. It must announce itself again to get work.
     pub(crate) fn dismiss(&mut self, name: &str) {
-        self.blame_crash(name);
+        self.attribute_crash(name);
         let Some(agent) = self.agents.remove(name) else { return };
         self.log("agent dismissed", name, "no connection or worker".to_owned());
-        let former = Former { lapse: agent.leases_expire_at, silent: agent.silent_ms };
+        let former = DismissedAgent { lapse: agent.leases_expire_at, silent: agent.silent_ms };
         self.dismissal.former.insert(name.to_owned(), former);
         if let Some(link) = agent.link {
             self.links.remove(&link);
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -2,9 +2,9 @@
 
 use quincewheel_job::{Id, Incarnation, Job, Progress, Step};
 
-use crate::advice::Clearance;
+use crate::checkpoints::Checkpoints;
+use crate::clearance::Clearance;
 use crate::owner::task;
-use crate::saved::Saved;
 use crate::settings::Settings;
 
 /// Identifies a task of a job: the occurrence, the step, and the task's index in the step.
@@ -117,7 +117,7 @@
         }
         let ran = self.updated_at.saturating_sub(self.started_at);
         let left = ran * u64::from(100 - self.percent.min(100)) / u64::from(self.percent);
-        self.updated_at + left <= now + settings.stop + settings.ending
+        self.updated_at + left <= now + settings.stop_timeout + settings.completion_grace
     }
 }
 
@@ -154,9 +154,9 @@
     }
 
     /// Returns the checkpoints to record: those of tasks that are not done.
-    pub fn open_checkpoints(&self, id: &str) -> Saved {
+    pub fn open_checkpoints(&self, id: &str) -> Checkpoints {
         let tasks = self.saved.iter().filter(|(key, _)| !self.progress.done(&task(id, **key)));
-        Saved::open(tasks)
+        Checkpoints::new(tasks)
     }
 
     /// Returns the key under which a task's run numbers, checkpoint and failures are stored. All
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -4,20 +4,20 @@
 use quincewheel_wire::{LinkId, Notice, Order};
 
 use crate::agent::Agent;
-use crate::awaited::Awaited;
+use crate::checkpoints::Checkpoints;
 use crate::detail::list;
 use crate::dismissal::Dismissal;
-use crate::election::SOONEST;
+use crate::election::OWNER_TIMEOUT_MS;
 use crate::entry::{Entry, Key, Phase, Placement};
-use crate::evacuation::Evacuated;
+use crate::evacuation::EvacuationState;
 use crate::guide::Guide;
 use crate::listing::Listing;
+use crate::maintenance::Maintenance;
 use crate::output::Output;
 use crate::review::Review;
-use crate::saved::Saved;
 use crate::settings::Settings;
+use crate::settlement::SettlementLog;
 use crate::times::Times;
-use crate::upkeep::Upkeep;
 use crate::waits::Waits;
 
 /// The scheduling state of all unfinished jobs and of all workers.
@@ -81,7 +81,7 @@
     /// Whether every run that a previous owner may have started is accounted for.
     pub(crate) settled: bool,
     /// Logging of members that delay the start of older jobs.
-    pub(crate) awaited: Awaited,
+    pub(crate) awaited: SettlementLog,
     /// Which workers were closed when waiting steps were last reviewed.
     pub(crate) review: Review,
     /// Steps that wait for their start, and what has been logged about them.
@@ -91,9 +91,9 @@
     /// Groups of several tasks that had just started at a worker when it crashed.
     pub(crate) suspect_groups: Vec<Vec<Task>>,
     /// Waves of maintenance.
-    pub(crate) upkeep: Upkeep,
+    pub(crate) upkeep: Maintenance,
     /// Availability zones in which nothing starts.
-    pub(crate) evacuated: Evacuated,
+    pub(crate) evacuated: EvacuationState,
     /// Id of the next unit of runs that stop together.
     pub(crate) next_unit: u64,
     /// The next time of day at which the passage of time alone may let work start.
@@ -109,7 +109,7 @@
 
 /// An owner cannot have been replaced within this time after it sent a successful write of its
 /// row. The 200 ms below the earliest takeover allow for clock drift.
-const OWNERSHIP_GUARANTEE_MS: u64 = SOONEST - 200;
+const OWNERSHIP_GUARANTEE_MS: u64 = OWNER_TIMEOUT_MS - 200;
 
 impl Owner {
     /// Creates an owner that claimed `epoch` when the table was at `version`.
@@ -145,13 +145,13 @@
             majority_since: None,
             predecessor_ended: false,
             settled: false,
-            awaited: Awaited::default(),
+            awaited: SettlementLog::default(),
             review: Review::default(),
             waits: Waits::default(),
             listing: Listing::default(),
             suspect_groups: Vec::new(),
-            upkeep: Upkeep::default(),
-            evacuated: Evacuated::default(),
+            upkeep: Maintenance::default(),
+            evacuated: EvacuationState::default(),
             next_unit: 1,
             replan_at: None,
             outputs: Vec::new(),
@@ -264,9 +264,9 @@
     }
 
     /// Loads a job's recorded checkpoints. Checkpoints that workers have reported since are kept.
-    pub fn restore_checkpoints(&mut self, id: &str, saved: &Saved) {
+    pub fn restore_checkpoints(&mut self, id: &str, saved: &Checkpoints) {
         if let Some(entry) = self.jobs.get_mut(id) {
-            for (key, checkpoint) in saved.tasks() {
+            for (key, checkpoint) in saved.by_task() {
                 entry.saved.entry(key).or_insert(checkpoint);
             }
         }
@@ -304,18 +304,20 @@
         match notice {
             Notice::Superseded { epoch } => self.outputs.push(Output::Deposed { epoch }),
             Notice::Ping { stamp, silent } => {
-                self.hear(&name, silent);
-                self.grant(&name, link, stamp, silent, now);
+                self.update_silence(&name, silent);
+                self.grant_lease(&name, link, stamp, silent, now);
             }
-            Notice::Left { worker } => self.left(&name, &worker),
-            Notice::Broke { worker, starts } => self.broke(&name, worker, starts),
+            Notice::Left { worker } => self.on_left(&name, &worker),
+            Notice::Broke { worker, starts } => self.on_connections_broken(&name, worker, starts),
             Notice::Status { stamp, worker, fenced, running, ended } => {
-                self.grant(&name, link, stamp, 0, now);
-                self.status(&name, worker, fenced, (&running, &ended), (stamp, now));
+                self.grant_lease(&name, link, stamp, 0, now);
+                self.on_status(&name, worker, fenced, (&running, &ended), (stamp, now));
             }
-            Notice::Started { task, run } => self.started(&task, run, now),
-            Notice::Unstarted { task, run, why } => self.unstarted(&name, &task, run, why, now),
-            Notice::Stopped { task, run } => self.stopped(&task, run),
+            Notice::Started { task, run } => self.on_started(&task, run, now),
+            Notice::Unstarted { task, run, why } => {
+                self.on_start_refused(&name, &task, run, why, now)
+            }
+            Notice::Stopped { task, run } => self.on_stopped(&task, run),
             // Agents do not send this one, and jobs reach the owner as rows of the table.
             Notice::Entry(_) => {}
         }
@@ -331,8 +333,8 @@
             self.agents_checked_at = now;
             self.check_agents(now);
         }
-        self.reopen(now);
-        self.ask_refusers(now);
+        self.reopen_workers(now);
+        self.end_backoffs(now);
         if !self.settled && self.check_settled(now) {
             self.settled = true;
             self.replan = true;
@@ -340,8 +342,8 @@
             let detail = format!("{} ms; not heard: {missing}", now - self.claimed_at);
             self.log("settled", "", detail);
         }
-        self.ask_for_list(now);
-        self.maintain(now, wall);
+        self.poll_machines(now);
+        self.advance_waves(now, wall);
         // Without this, a job whose reserved room did not become free would wait next to idle
         // workers until some other event caused a plan.
         self.replan |= self.reservation_ends_at.take_if(|at| *at <= now).is_some();
@@ -349,7 +351,7 @@
         if due || self.advice_retry_at.take_if(|at| *at <= now).is_some() {
             self.replan = true;
         }
-        if self.replan && !self.is_deaf(now) {
+        if self.replan && !self.operators_unreachable(now) {
             self.replan = false;
             self.plan(now, wall);
         }
@@ -361,10 +363,10 @@
         for agent in self.agents.values_mut() {
             agent.update_liveness(&self.settings, now);
         }
-        self.close_silent(now);
-        self.lapse(now);
+        self.close_unresponsive(now);
+        self.expire_leases(now);
         self.stop_unlisted(now);
-        self.look_at_evacuated(now);
+        self.check_evacuated_zones(now);
     }
 
     /// Returns whether the job has ended, even if that is not recorded in the table yet.
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -12,7 +12,7 @@
 use crate::guide::Guide;
 use crate::owner::{Owner, task};
 use crate::snapshot::{Exclusions, Snapshot};
-use crate::suspects::{Fresh, one_by_one};
+use crate::suspects::{RecentStart, isolate_suspects};
 
 impl Owner {
     /// Runs one round of planning: starts what fits in order of rank, makes room where that is
@@ -35,7 +35,7 @@
             self.start_candidate(candidate, &mut snapshot, now, wall);
         }
         // No event marks the moment at which a suspected task has survived its start.
-        if snapshot.recent_starts.values().any(|fresh| *fresh == Fresh::Suspect) {
+        if snapshot.recent_starts.values().any(|fresh| *fresh == RecentStart::Suspect) {
             self.schedule_replan(wall + APART);
         }
         self.record_held_back(now, wall);
@@ -73,7 +73,7 @@
                     if tasks.is_empty() {
                         continue;
                     }
-                    for group in one_by_one(id, entry, (occurrence, number), tasks, now) {
+                    for group in isolate_suspects(id, entry, (occurrence, number), tasks, now) {
                         let need = step.need.accelerators * group.0.len() as u64;
                         // A job that was preempted for a guarantee is not covered by its own any
                         // more: it would take back the room that was made for the other job.
@@ -133,16 +133,16 @@
     /// that lease lasts, margin included.
     pub(crate) fn predecessor_grants(&self) -> (u64, u64) {
         let last = match self.majority_since {
-            None => self.claimed_at + self.settings.autonomy,
+            None => self.claimed_at + self.settings.grants_stop_after,
             Some(_) if self.predecessor_ended => self.claimed_at,
             // A previous owner grants leases to all agents until the table has not confirmed it
             // for `unconfirmed`. After that it needs a majority of agents, and agents that
             // follow this owner still count for it until their last notice is `fresh` old.
             Some(since) => {
-                (since + self.settings.fresh).max(self.claimed_at + self.settings.unconfirmed)
+                (since + self.settings.quorum_age).max(self.claimed_at + self.settings.quorum_after)
             }
         };
-        (last, self.settings.lease + self.settings.margin)
+        (last, self.settings.lease + self.settings.lease_margin)
     }
 
     /// Returns the agents whose workers may still run what a previous owner started.
@@ -188,12 +188,12 @@
         let pool = self.pool_of(entry);
         let excluded = Exclusions {
             uncleared: self.uncleared(candidate, snapshot, now),
-            avoided: self.avoided(candidate, snapshot, now),
-            apart: self.kept_apart(candidate, snapshot),
+            avoided: self.avoided_places(candidate, snapshot, now),
+            apart: self.excluded_places(candidate, snapshot),
         };
         let places = excluded.places();
         let spared = match candidate.suspect {
-            true => self.try_suspect(candidate, (&step, &pool), (snapshot, &places), (now, wall)),
+            true => self.place_suspect(candidate, (&step, &pool), (snapshot, &places), (now, wall)),
             false => {
                 self.place_elsewhere(candidate, (&step, &pool), (snapshot, &places), (now, wall))
             }
@@ -205,14 +205,18 @@
             self.schedule_replan(wall + APART);
         }
         if !excluded.uncleared.is_empty() {
-            self.ask(candidate, most_free(&excluded.uncleared, snapshot, &pool, &step.label), now);
+            self.request_clearance(
+                candidate,
+                most_free(&excluded.uncleared, snapshot, &pool, &step.label),
+                now,
+            );
         }
         let restrictions = snapshot.restrictions(&spared, &excluded);
         self.record_wait(candidate, snapshot, &restrictions, now);
     }
 
     /// Starts as many of a candidate's tasks as it can on workers other than those at the
-    /// `barred` places. Returns the places that it leaves to other work.
+    /// `excluded` places. Returns the places that it leaves to other work.
     pub(crate) fn place_elsewhere(
         &mut self,
         candidate: &Candidate,
@@ -335,8 +339,8 @@
             spot.free.take(&need);
             snapshot.actual_free[place].take(&need);
             let name = spot.name.clone();
-            let fresh = if candidate.suspect { Fresh::Suspect } else { Fresh::Any };
-            fresh.note(&mut snapshot.recent_starts, place);
+            let fresh = if candidate.suspect { RecentStart::Suspect } else { RecentStart::Any };
+            fresh.record(&mut snapshot.recent_starts, place);
             let Some(worker) = self.agents.get(&name).and_then(|agent| agent.worker.as_ref())
             else {
                 continue;
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -1,5 +1,7 @@
-//! What must be in the table: jobs' progress before workers may forget their
-//! ends, checkpoints, learned run times, and who is a member no more.
+//! Batches of state that the owner records in the table.
+//!
+//! Workers may forget the ends of their runs only after the progress of the jobs is recorded.
+//! Batches also hold checkpoints, learned run times, waves of maintenance and departed agents.
 
 use std::collections::BTreeSet;
 
@@ -7,26 +9,26 @@
 use quincewheel_wire::Order;
 
 use crate::agent::Agent;
-use crate::batch::{Batch, Seen};
+use crate::batch::{AcknowledgedEnds, Batch};
+use crate::checkpoints::Checkpoints;
 use crate::entry::Entry;
 use crate::owner::Owner;
-use crate::saved::Saved;
 
-/// Most jobs in one transaction. The table takes 100 rows; the rest is for the
-/// owner's own, checkpoints, and rows that are dropped.
-const BATCH: usize = 50;
+/// Most jobs in one transaction. The table accepts 100 rows; the others are for the owner's row,
+/// checkpoints and deleted rows.
+const MAX_JOBS: usize = 50;
 /// Most jobs whose checkpoints are in one transaction.
-const SAVED: usize = 15;
-/// Most members that one transaction drops.
-const GONE: usize = 8;
+const MAX_CHECKPOINTED_JOBS: usize = 15;
+/// Most departed agents whose rows one transaction deletes.
+const MAX_DEPARTED: usize = 8;
 
 impl Owner {
-    /// What is to be recorded now; none if a record is under way.
-    pub fn record(&mut self) -> Option<Batch> {
+    /// The next batch to record; none while one is in flight. [`Owner::on_recorded`] must follow.
+    pub fn next_batch(&mut self) -> Option<Batch> {
         if self.record_in_flight {
             return None;
         }
-        let ids: Vec<Id> = self.dirty.iter().take(BATCH).cloned().collect();
+        let ids: Vec<Id> = self.dirty.iter().take(MAX_JOBS).cloned().collect();
         let mut batch =
             Batch { times: self.times_changed.then(|| self.times.clone()), ..Batch::default() };
         self.times_changed = false;
@@ -42,28 +44,28 @@
             {
                 let Some(worker) = &agent.worker else { continue };
                 let (agent, worker, number) = (name.clone(), worker.incarnation(), agent.last_end);
-                batch.seen.push(Seen { agent, worker, number });
+                batch.acknowledged.push(AcknowledgedEnds { agent, worker, number });
             }
             self.dirty_urgent = false;
         }
-        batch.gone = self.gone().into_iter().take(GONE).collect();
-        self.begin_dismissal(&batch.gone, true);
-        batch.saved = self.unsaved();
-        batch.waves = self.new_waves();
+        batch.departed = self.departed_agents().into_iter().take(MAX_DEPARTED).collect();
+        self.set_dropping(&batch.departed, true);
+        batch.checkpoints = self.due_checkpoints();
+        batch.waves = self.unrecorded_waves();
         self.record_in_flight = true;
         Some(batch)
     }
 
-    /// Checkpoints that are to be recorded: one record a job in a while, along
-    /// with what is written anyway.
-    fn unsaved(&mut self) -> Vec<(Id, Saved)> {
-        let (now, keep) = (self.now, self.settings.keep);
+    /// Checkpoints that are due: each job's are recorded at most once per
+    /// `checkpoint_interval`, along with other changes.
+    fn due_checkpoints(&mut self) -> Vec<(Id, Checkpoints)> {
+        let (now, interval) = (self.now, self.settings.checkpoint_interval);
         let due = |entry: &&mut Entry| {
-            entry.checkpoints_dirty && now >= entry.checkpoints_recorded_at + keep
+            entry.checkpoints_dirty && now >= entry.checkpoints_recorded_at + interval
         };
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter_mut() {
-            if found.len() < SAVED && due(&entry) {
+            if found.len() < MAX_CHECKPOINTED_JOBS && due(&entry) {
                 entry.checkpoints_dirty = false;
                 entry.checkpoints_recorded_at = now;
                 found.push((id.clone(), entry.open_checkpoints(id)));
@@ -72,15 +74,16 @@
         found
     }
 
-    /// Agents that are no members any more: gone, or without a worker, for so
-    /// long that nothing runs there, or whose worker said that it ends.
+    /// Agents whose rows are to be deleted: their worker has shut down, or there has been no
+    /// connection or no worker for longer than any lease, and no run is recorded there.
     ///
-    /// A new owner waits for all members before it starts older jobs. Without
-    /// this it would wait a whole lease for each machine that was ever taken
-    /// away: 6 s in which work stood still after every change of owner.
-    fn gone(&self) -> Vec<String> {
-        let bound = self.settings.lease + self.settings.margin + self.settings.absence;
-        let gone = |agent: &Agent| {
+    /// A new owner waits for all members before it starts older jobs. Without this it would wait
+    /// for the lease of every machine that was ever removed, which delays work by 6 s after each
+    /// change of owner.
+    fn departed_agents(&self) -> Vec<String> {
+        let bound =
+            self.settings.lease + self.settings.lease_margin + self.settings.absence_timeout;
+        let departed = |agent: &Agent| {
             let absent = agent.absent_since.is_some_and(|since| self.now >= since + bound);
             self.settled && (agent.worker_left || absent)
         };
@@ -89,36 +92,38 @@
             .values()
             .flat_map(|entry| entry.runs.values().map(|placed| placed.agent.as_str()))
             .collect();
-        let names =
-            self.agents.iter().filter(|(name, agent)| gone(agent) && !runs.contains(name.as_str()));
+        let names = self
+            .agents
+            .iter()
+            .filter(|(name, agent)| departed(agent) && !runs.contains(name.as_str()));
         names.map(|(name, _)| name.clone()).collect()
     }
 
-    /// True if callers wait for what is to be recorded.
-    pub fn urgent(&self) -> bool {
+    /// True if clients wait for a change that is not recorded yet.
+    pub fn has_urgent_changes(&self) -> bool {
         self.dirty_urgent
     }
 
-    /// True if something is to be recorded.
-    pub fn unrecorded(&self) -> bool {
+    /// True if there are unrecorded changes or unacknowledged ends.
+    pub fn has_unrecorded(&self) -> bool {
         !self.dirty.is_empty()
             || self.agents.values().any(|agent| agent.last_end > agent.acknowledged_end)
     }
 
-    /// A batch was recorded, or was not.
-    pub fn recorded(&mut self, batch: &Batch, done: bool) {
+    /// Handles the result of recording a batch. If it is not `done`, its content becomes due again.
+    pub fn on_recorded(&mut self, batch: &Batch, done: bool) {
         self.record_in_flight = false;
         if !done {
-            self.begin_dismissal(&batch.gone, false);
+            self.set_dropping(&batch.departed, false);
             for (id, _) in &batch.jobs {
                 self.dirty.insert(id.clone());
             }
             self.dirty_urgent = true;
             self.times_changed |= batch.times.is_some();
             for (number, _) in &batch.waves {
-                self.unrecord(*number);
+                self.mark_unrecorded(*number);
             }
-            for (id, _) in &batch.saved {
+            for (id, _) in &batch.checkpoints {
                 if let Some(entry) = self.jobs.get_mut(id) {
                     entry.checkpoints_dirty = true;
                     entry.checkpoints_recorded_at = 0;
@@ -126,17 +131,17 @@
             }
             return;
         }
-        for seen in &batch.seen {
-            self.forget(seen);
+        for ends in &batch.acknowledged {
+            self.acknowledge(ends);
         }
-        for name in &batch.gone {
-            // One that has announced itself since then is a member again.
+        for name in &batch.departed {
+            // An agent that has announced itself since then is a member again.
             if self.agents.get(name).is_some_and(|agent| agent.removal_pending) {
                 self.dismiss(name);
             }
         }
         for (id, progress) in &batch.jobs {
-            self.note_recorded(id);
+            self.on_progress_recorded(id);
             let idle = self.jobs.get(id).is_some_and(|entry| entry.runs.is_empty());
             if progress.state.ended() && idle && !self.dirty.contains(id) {
                 self.close_job(id);
@@ -144,12 +149,13 @@
         }
     }
 
-    fn forget(&mut self, seen: &Seen) {
-        let Some(agent) = self.agents.get_mut(&seen.agent) else { return };
-        if agent.worker.as_ref().is_some_and(|worker| worker.is(&seen.worker)) {
-            agent.acknowledged_end = agent.acknowledged_end.max(seen.number);
+    /// Notifies the worker that its ends up to a number are recorded and may be forgotten.
+    fn acknowledge(&mut self, ends: &AcknowledgedEnds) {
+        let Some(agent) = self.agents.get_mut(&ends.agent) else { return };
+        if agent.worker.as_ref().is_some_and(|worker| worker.is(&ends.worker)) {
+            agent.acknowledged_end = agent.acknowledged_end.max(ends.number);
             if let Some(link) = agent.link {
-                let (worker, number) = (seen.worker.clone(), seen.number);
+                let (worker, number) = (ends.worker.clone(), ends.number);
                 self.send(link, Order::Seen { worker, number });
             }
         }
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -11,7 +11,7 @@
 use crate::owner::Owner;
 use crate::plan::tasks_per_worker;
 use crate::snapshot::Snapshot;
-use crate::suspects::Fresh;
+use crate::suspects::RecentStart;
 
 impl Owner {
     /// Starts a step on the room reserved for it, or keeps the reservation if the room is not
@@ -37,12 +37,13 @@
             let key = (candidate.occurrence, candidate.step, 0);
             entry.job.queue.advice.is_none() || entry.ticket(key, worker, now).is_some()
         };
-        let until = reservation.made_at + self.settings.reservation;
+        let until = reservation.made_at + self.settings.reservation_ttl;
         // A reservation stays valid while its worker is in a pause after a refusal. If it were
         // void, work on yet another worker would be stopped as well.
         let paused =
             |name: &String| self.agents.get(name).is_some_and(|agent| agent.refusals.until > 0);
-        let trial = |place: &usize| snapshot.recent_starts.get(place) == Some(&Fresh::Suspect);
+        let trial =
+            |place: &usize| snapshot.recent_starts.get(place) == Some(&RecentStart::Suspect);
         if now < until && (reservation.agents.iter().any(paused) || places.iter().any(trial)) {
             self.track_reservation_end(until);
             return true;
@@ -102,13 +103,13 @@
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let held = tasks_per_worker(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
-        let promised = promised(begin, self.settings.reclaim, self.settings.stop);
+        let promised = promised(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
         let guaranteed = candidate.guaranteed();
         let due = guaranteed && wall >= promised;
         let count = rest.len() as u32;
         let over = if due { Hold::Borrowed } else { Hold::Lower };
         let ask = Ask { step, pool, count, patient: true, over, sure: guaranteed, held: &held };
-        let last = last_call(begin, self.settings.reclaim, self.settings.stop);
+        let last = last_call(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
         let claim = reclaim(&snapshot.spots, &ask).or_else(|| {
             let others = Ask { over: Hold::Guaranteed, sure: false, ..ask };
             let pressing = due && wall >= last && !entry.has_begun;
@@ -141,7 +142,7 @@
         let agents =
             claim.choices.iter().map(|&place| snapshot.spots[place].name.clone()).collect();
         let reservation = Reservation { agents, made_at: now };
-        self.track_reservation_end(now + self.settings.reservation);
+        self.track_reservation_end(now + self.settings.reservation_ttl);
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
             entry.reservations.insert((candidate.occurrence, candidate.step), reservation);
         }
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -9,8 +9,8 @@
 use crate::agent::Agent;
 use crate::entry::{Key, Phase};
 use crate::owner::Owner;
-use crate::reports::key;
-use crate::suspects::Fresh;
+use crate::reports::task_key;
+use crate::suspects::RecentStart;
 use crate::tally::Restriction;
 
 /// Open workers, their free capacity, and the work on them that may be preempted. A round of
@@ -23,7 +23,7 @@
     /// The runs of each unit. A unit can only be stopped as a whole.
     pub units: BTreeMap<u64, Vec<(Id, Key)>>,
     /// Workers that have just started a task, by place.
-    pub recent_starts: BTreeMap<usize, Fresh>,
+    pub recent_starts: BTreeMap<usize, RecentStart>,
 }
 
 /// Places that a step must not use, by reason.
@@ -72,7 +72,7 @@
         places
     }
 
-    /// What restrictions a step from each place; empty if nothing does anywhere.
+    /// Returns the restriction that applies to a step at each place; empty if there is none at all.
     pub fn restrictions(&self, spared: &[usize], excluded: &Exclusions) -> Vec<Restriction> {
         let kinds = [
             (spared, Restriction::Spared),
@@ -114,14 +114,14 @@
                 stopping: Need::default(),
                 ending: Need::default(),
                 doubtful: agent.doubted_until.max(agent.cold_until) > now
-                    || agent.silent_ms > self.settings.mute / 2,
+                    || agent.silent_ms > self.settings.unresponsive_after / 2,
                 holders: Vec::new(),
             });
         }
         let borrowed = self.borrowed_units();
         let mut taken = BTreeMap::new();
         let mut units: BTreeMap<u64, Vec<(Id, Key)>> = BTreeMap::new();
-        let mut fresh: BTreeMap<usize, Fresh> = BTreeMap::new();
+        let mut fresh: BTreeMap<usize, RecentStart> = BTreeMap::new();
         for (id, entry) in &self.jobs {
             for (key, placed) in &entry.runs {
                 let Some(step) = entry.step(*key) else { continue };
@@ -129,8 +129,8 @@
                 let Some(&place) = places.get(placed.agent.as_str()) else { continue };
                 let need = step.charge();
                 spots[place].free.take(&need);
-                if let Some(started) = Fresh::of(id, entry, *key, placed, now) {
-                    started.note(&mut fresh, place);
+                if let Some(started) = RecentStart::of(id, entry, *key, placed, now) {
+                    started.record(&mut fresh, place);
                 }
                 let hold = match entry.job.queue.priority {
                     0 if !borrowed.contains(&placed.unit) => Hold::Guaranteed,
@@ -164,7 +164,7 @@
     fn capacity_without_strays(&self, agent: &Agent, capacity: Need) -> Need {
         let mut left = capacity;
         for task in &agent.strays {
-            let step = self.jobs.get(&task.job).and_then(|entry| entry.step(key(task)));
+            let step = self.jobs.get(&task.job).and_then(|entry| entry.step(task_key(task)));
             let Some(step) = step else { return Need::default() };
             left.take(&step.charge());
         }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -1,8 +1,8 @@
-//! Availability zones that operators evacuate: what the owner decides, and what it tells.
+//! Evacuations of availability zones: what the owner decides, and what it reports.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, job, run, step, task, worker};
+use harness::{Harness, job, run, step, task, worker};
 use insta::assert_snapshot;
 use quincewheel_dispatch::{Owner, Settings};
 use quincewheel_job::{Config, Evacuation, Job, Step, Team, Worker};
@@ -11,55 +11,58 @@
 const EVENTS: [&str; 5] =
     ["zone evacuated", "zone empty", "evacuation over", "operators not heard", "operators heard"];
 
-fn zones(names: &[&str]) -> Evacuation {
+/// Returns an evacuation of these zones.
+fn evacuation_of(names: &[&str]) -> Evacuation {
     let mut zones = Evacuation::default();
     names.iter().for_each(|name| zones.begin(name));
     zones
 }
 
-/// Workers, the first two of which are in zone `a`, the others in `b`.
-fn open(workers: u64) -> Bed {
-    let mut bed = Bed::open(1, workers);
-    bed.events = EVENTS.to_vec();
+/// Creates an owner with idle workers; the first two are in zone `a`, the others in `b`.
+fn two_zones(workers: u64) -> Harness {
+    let mut harness = Harness::new(1, workers);
+    harness.logged_events = EVENTS.to_vec();
     for number in 0..workers {
-        bed.link(number);
-        report(&mut bed, number, &[]);
+        harness.connect(number);
+        report_in_zone(&mut harness, number, &[]);
     }
-    bed.told();
-    bed.logged();
-    bed
+    harness.take_orders();
+    harness.take_logs();
+    harness
 }
 
-fn report(bed: &mut Bed, number: u64, running: &[quincewheel_job::Run]) {
+/// Sends a status of a worker with these runs.
+fn report_in_zone(harness: &mut Harness, number: u64, running: &[quincewheel_job::Run]) {
     let zone = if number < 2 { "a" } else { "b" }.to_owned();
     let worker = Some(Worker { zone, ..worker(number) });
-    let (stamp, running, ended) = (bed.now, running.to_vec(), Vec::new());
-    bed.notice(number, Notice::Status { stamp, worker, fenced: true, running, ended });
+    let (stamp, running, ended) = (harness.now, running.to_vec(), Vec::new());
+    harness.deliver(number, Notice::Status { stamp, worker, fenced: true, running, ended });
 }
 
-// Symptom: operators switch a zone off in which work goes on. Cause: an owner that has just taken over
-// said that the zone is empty before it had heard what runs there.
+// Operators switched off a zone in which work was going on: an owner that had just taken over
+// reported the zone empty before it had received what runs there.
 #[test]
-fn a_zone_is_told_empty_once_and_only_when_all_that_may_run_there_is_known() {
-    let mut bed = Bed::open(2, 2);
-    bed.events = EVENTS.to_vec();
-    bed.owner.add_job("old", job(0, vec![step(1, 8)]), 50, None);
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
-    bed.pass(300);
-    let unheard = format!("{}\n{:?}", bed.logged(), bed.owner.evacuated());
+fn zone_is_reported_empty_once_and_only_when_all_runs_in_it_are_known() {
+    let mut harness = Harness::new(2, 2);
+    harness.logged_events = EVENTS.to_vec();
+    harness.owner.add_job("old", job(0, vec![step(1, 8)]), 50, None);
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
+    harness.advance(300);
+    let before_reports =
+        format!("{}\n{:?}", harness.take_logs(), harness.owner.evacuation_counts());
     for number in 0..2 {
-        bed.link(number);
-        report(&mut bed, number, &[run(task("old", 0, 0), 1)][number as usize..]);
+        harness.connect(number);
+        report_in_zone(&mut harness, number, &[run(task("old", 0, 0), 1)][number as usize..]);
     }
-    bed.pass(300);
-    let busy = bed.logged();
-    bed.owner.cancel("old", bed.now);
-    bed.notice(0, Notice::Stopped { task: task("old", 0, 0), run: 1 });
-    report(&mut bed, 0, &[]);
-    bed.notice(0, Notice::Stopped { task: task("old", 0, 0), run: 1 });
-    bed.live(1000, 2);
-    let empty = format!("{}\n{:?}", bed.logged(), bed.owner.evacuated());
-    assert_snapshot!(format!("{unheard}\n--\n{busy}\n--\n{empty}"), @r#"
+    harness.advance(300);
+    let busy = harness.take_logs();
+    harness.owner.cancel("old", harness.now);
+    harness.deliver(0, Notice::Stopped { task: task("old", 0, 0), run: 1 });
+    report_in_zone(&mut harness, 0, &[]);
+    harness.deliver(0, Notice::Stopped { task: task("old", 0, 0), run: 1 });
+    harness.advance_with_pings(1000, 2);
+    let empty = format!("{}\n{:?}", harness.take_logs(), harness.owner.evacuation_counts());
+    assert_snapshot!(format!("{before_reports}\n--\n{busy}\n--\n{empty}"), @r#"
     zone evacuated a: 0 workers take nothing new, 0 runs go on, as far as is known yet
     (1, 1)
     --
@@ -70,58 +73,63 @@
     "#);
 }
 
-// Symptom: a gang that wants one rack waits beside room for it. Load: half of a pool of two zones is
-// evacuated while gangs come; the racks of the other zone count as if there were no others.
+// A gang that needs one rack waited beside a rack with capacity. Load: half of a pool of two zones
+// is evacuated while gangs come; the racks of the other zone count as if there were no others.
 #[test]
-fn gangs_begin_in_the_racks_of_the_zones_that_are_left() {
-    let mut bed = open(6);
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
-    bed.step();
-    bed.told();
+fn gangs_start_in_the_racks_of_the_remaining_zones() {
+    let mut harness = two_zones(6);
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
+    harness.tick();
+    harness.take_orders();
     let gang = Step { gang: true, same_rack: true, ..step(3, 8) };
-    bed.owner.add_job("gang", Job { accepted: bed.now, ..job(0, vec![gang]) }, 150, None);
-    bed.step();
-    assert_snapshot!(bed.told(), @r#"
+    harness.owner.add_job("gang", Job { accepted: harness.now, ..job(0, vec![gang]) }, 150, None);
+    harness.tick();
+    assert_snapshot!(harness.take_orders(), @r#"
     w3 start gang.0.0.0 run 1 
     w4 start gang.0.0.1 run 1 
     w5 start gang.0.0.2 run 1
     "#);
 }
 
-// Symptom: a team's guaranteed job waits while others borrow its room in the zones that are left.
+// A team's guaranteed job waited while others borrowed its capacity in the remaining zones.
 #[test]
-fn guaranteed_room_is_made_in_the_zones_that_are_left() {
-    let mut bed = open(3);
+fn capacity_for_a_guarantee_is_freed_in_the_remaining_zones() {
+    let mut harness = two_zones(3);
     let team = Team { name: "t".into(), guaranteed: 8 };
     let teams = [("t".to_owned(), team)].into();
-    bed.owner.configure(&Config { version: 1, teams, ..Config::default() });
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
-    bed.owner.add_job("other", Job { team: "o".into(), ..job(1, vec![step(1, 8)]) }, 150, None);
-    bed.step();
-    report(&mut bed, 2, &[run(task("other", 0, 0), 1)]);
-    bed.told();
-    bed.owner.add_job("owed", Job { accepted: bed.now, ..job(0, vec![step(1, 8)]) }, 160, None);
-    bed.step();
-    assert_snapshot!(bed.told(), @r#"
+    harness.owner.configure(&Config { version: 1, teams, ..Config::default() });
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
+    harness.owner.add_job("other", Job { team: "o".into(), ..job(1, vec![step(1, 8)]) }, 150, None);
+    harness.tick();
+    report_in_zone(&mut harness, 2, &[run(task("other", 0, 0), 1)]);
+    harness.take_orders();
+    harness.owner.add_job(
+        "owed",
+        Job { accepted: harness.now, ..job(0, vec![step(1, 8)]) },
+        160,
+        None,
+    );
+    harness.tick();
+    assert_snapshot!(harness.take_orders(), @r#"
     w2 stop other.0.0.0 run 1
     "#);
 }
 
-// Symptom: after a zone is evacuated, work starts there by an order that a broken connection held up.
-// Sequence: a gang's starts are ordered, the connection of one member breaks, the zone is evacuated.
+// Work started in a zone after its evacuation, by an order that a broken connection had held up: a
+// gang's starts are ordered, the connection of one member breaks, and the zone is evacuated.
 #[test]
-fn a_start_that_is_not_confirmed_is_not_ordered_again_in_an_evacuated_zone() {
-    let mut bed = open(3);
+fn unconfirmed_start_in_an_evacuated_zone_is_stopped_instead_of_sent_again() {
+    let mut harness = two_zones(3);
     let gang = Step { gang: true, ..step(3, 8) };
-    bed.owner.add_job("gang", job(0, vec![gang]), 150, None);
-    bed.step();
-    bed.owner.unlinked(0);
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
-    bed.step();
-    bed.told();
-    bed.link(0);
-    report(&mut bed, 0, &[]);
-    assert_snapshot!(bed.told(), @r#"
+    harness.owner.add_job("gang", job(0, vec![gang]), 150, None);
+    harness.tick();
+    harness.owner.on_disconnected(0);
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
+    harness.tick();
+    harness.take_orders();
+    harness.connect(0);
+    report_in_zone(&mut harness, 0, &[]);
+    assert_snapshot!(harness.take_orders(), @r#"
     w0 evacuate ["a"]
     w0 stop gang.0.0.0 run 1
     w1 stop gang.0.0.1 run 1
@@ -129,29 +137,30 @@
     "#);
 }
 
-// Symptom: work starts in a zone seconds after it was evacuated. Sequence: the table answers operators,
-// and neither the owner nor the others. What an owner has not heard of it cannot keep.
+// Work started in a zone seconds after its evacuation: the table answers operators, but neither the
+// owner nor the other entries. An owner cannot follow an evacuation that it has not read.
 #[test]
-fn an_owner_that_has_not_heard_of_operators_for_long_starts_nothing() {
-    let mut bed = open(2);
-    let settings = Settings { evacuation: Some(5000), ..Settings::default() };
-    bed.owner.update_settings(settings);
-    bed.owner.evacuate(&zones(&[]), bed.now);
-    bed.live(3600, 2);
-    bed.owner.add_job("before", job(0, vec![step(1, 1)]), 150, None);
-    bed.step();
-    let before = bed.told();
-    bed.live(200, 2);
-    bed.owner.add_job("after", job(0, vec![step(1, 1)]), 160, None);
-    bed.live(2000, 2);
-    let unheard = bed.told();
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
-    bed.step();
-    let evacuated = bed.told();
-    bed.owner.evacuate(&zones(&[]), bed.now);
-    bed.step();
-    let told = format!("{before}\n--\n{unheard}\n--\n{evacuated}\n--\n{}", bed.told());
-    assert_snapshot!(format!("{told}\n--\n{}", bed.logged()), @r#"
+fn owner_that_has_not_read_the_evacuations_for_long_starts_nothing() {
+    let mut harness = two_zones(2);
+    let settings = Settings { evacuation_deadline: Some(5000), ..Settings::default() };
+    harness.owner.update_settings(settings);
+    harness.owner.set_evacuation(&evacuation_of(&[]), harness.now);
+    harness.advance_with_pings(3600, 2);
+    harness.owner.add_job("before", job(0, vec![step(1, 1)]), 150, None);
+    harness.tick();
+    let before = harness.take_orders();
+    harness.advance_with_pings(200, 2);
+    harness.owner.add_job("after", job(0, vec![step(1, 1)]), 160, None);
+    harness.advance_with_pings(2000, 2);
+    let not_read = harness.take_orders();
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
+    harness.tick();
+    let evacuated = harness.take_orders();
+    harness.owner.set_evacuation(&evacuation_of(&[]), harness.now);
+    harness.tick();
+    let orders =
+        format!("{before}\n--\n{not_read}\n--\n{evacuated}\n--\n{}", harness.take_orders());
+    assert_snapshot!(format!("{orders}\n--\n{}", harness.take_logs()), @r#"
     w0 start before.0.0.0 run 1 
     --
     nothing
@@ -170,40 +179,40 @@
     "#);
 }
 
-// Symptom: nothing starts on a deployment whose settings name no bound for evacuations.
+// Nothing started on a deployment whose settings have no bound for evacuations.
 #[test]
-fn an_owner_without_a_bound_for_evacuations_starts_what_it_is_given() {
-    let mut bed = open(2);
-    bed.live(20_000, 2);
-    bed.told();
-    bed.owner.add_job("work", job(0, vec![step(1, 1)]), 150, None);
-    bed.step();
-    assert_snapshot!(bed.told(), @r#"
+fn owner_without_a_bound_for_evacuations_starts_jobs() {
+    let mut harness = two_zones(2);
+    harness.advance_with_pings(20_000, 2);
+    harness.take_orders();
+    harness.owner.add_job("work", job(0, vec![step(1, 1)]), 150, None);
+    harness.tick();
+    assert_snapshot!(harness.take_orders(), @r#"
     w0 start work.0.0.0 run 1
     "#);
 }
 
-// Symptom: an agent goes on refusing work after the zone was taken back. Sequence: it was not connected
-// when that was told; it is again under the same owner, which then tells it that nothing is evacuated.
+// An agent went on refusing work after the evacuation had ended. It was not connected when that was
+// sent; it connects again under the same owner, which must then send that no zone is evacuated.
 #[test]
-fn an_agent_that_missed_the_end_of_an_evacuation_is_told_when_it_is_back() {
-    let mut bed = open(2);
-    bed.owner.evacuate(&zones(&["a"]), bed.now);
-    bed.owner.unlinked(0);
-    bed.owner.evacuate(&zones(&[]), bed.now);
-    bed.drain();
-    bed.told();
-    bed.link(0);
-    bed.drain();
-    assert_snapshot!(bed.told(), @r#"
+fn agent_that_missed_the_end_of_an_evacuation_is_notified_on_reconnect() {
+    let mut harness = two_zones(2);
+    harness.owner.set_evacuation(&evacuation_of(&["a"]), harness.now);
+    harness.owner.on_disconnected(0);
+    harness.owner.set_evacuation(&evacuation_of(&[]), harness.now);
+    harness.collect_outputs();
+    harness.take_orders();
+    harness.connect(0);
+    harness.collect_outputs();
+    assert_snapshot!(harness.take_orders(), @r#"
     w0 evacuate []
     "#);
 }
 
 #[test]
-fn an_owner_that_knows_of_no_evacuation_tells_agents_nothing() {
+fn owner_without_evacuations_sends_agents_none() {
     let mut owner = Owner::new(Settings::default(), 1, 1, 0);
-    owner.evacuate(&zones(&[]), 5);
-    owner.linked("w0", 0, 10);
+    owner.set_evacuation(&evacuation_of(&[]), 5);
+    owner.on_connected("w0", 0, 10);
     assert_eq!(owner.take_outputs().len(), 1);
 }
--- a/crates/entry/src/site/follow.rs
+++ b/crates/entry/src/site/follow.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use futures_util::stream::{self, StreamExt, TryStreamExt};
-use quincewheel_dispatch::{Mirror, News, Owner, rows};
+use quincewheel_dispatch::{Mirror, Owner, RowEvent, rows};
 use quincewheel_platform::{self as platform, Skipped, Space, Table};
 use quincewheel_store::{Change, Changes, Error, Read, scan};
 
@@ -175,13 +175,13 @@
     let mut mirror = shared.mirror.borrow_mut();
     let mut news = match whole {
         true => mirror.reload(&changes.rows, changes.version),
-        false => mirror.follow(&changes.rows, changes.version),
+        false => mirror.apply_changes(&changes.rows, changes.version),
     };
     shared.heard.set(now);
     let mut election = shared.election.borrow_mut();
     match &mirror.owner {
-        Some((_, version)) => election.observe(*version, now),
-        None => election.unowned(now),
+        Some((_, version)) => election.observe_row(*version, now),
+        None => election.on_unowned(now),
     }
     drop(election);
     drop(mirror);
@@ -193,36 +193,36 @@
 }
 
 /// Tells the owner, if this entry is it.
-fn tell_owner(shared: &Site, news: News, now: u64) {
-    if news == News::Owner {
+fn tell_owner(shared: &Site, event: RowEvent, now: u64) {
+    if event == RowEvent::OwnerChanged {
         return own::check_deposed(shared);
     }
     let mirror = shared.mirror.borrow();
     let mut owner = shared.owner.borrow_mut();
-    match news {
-        News::Malformed { key, detail } => unreadable(shared, &key, &detail),
-        News::Owner => unreachable!("handled above, without the owner borrowed"),
-        News::Node(name) => {
+    match event {
+        RowEvent::Malformed { key, detail } => unreadable(shared, &key, &detail),
+        RowEvent::OwnerChanged => unreachable!("handled above, without the owner borrowed"),
+        RowEvent::NodeAnnounced(name) => {
             let node = mirror.nodes.get(&name);
             if let Some(node) = node {
                 shared.dials.borrow_mut().forget(&node.address);
             }
             let agent = node.is_some_and(|node| !node.entry);
             if let Some(owner) = owner.as_mut().filter(|_| agent) {
-                owner.agent(&name, now);
+                owner.add_agent(&name, now);
             }
         }
-        News::Unlisted(name) => {
+        RowEvent::NodeRemoved(name) => {
             if let Some(owner) = owner.as_mut() {
-                owner.unlisted(&name);
+                owner.on_row_removed(&name);
             }
         }
-        News::Cancelled(id) => {
+        RowEvent::JobCancelled(id) => {
             if let Some(owner) = owner.as_mut() {
                 owner.cancel(&id, now);
             }
         }
-        News::Job(id) => {
+        RowEvent::JobAccepted(id) => {
             if let Some(owner) = owner.as_mut() {
                 tell_job(owner, &mirror, &id, now);
             }
