--- a/crates/runner/src/announcement.rs
+++ b/crates/runner/src/announcement.rs
@@ -1,56 +1,61 @@
 use crate::runner::Runner;
 
-/// When an agent writes where it is: once its worker has reported, and again while it
-/// reports and no owner speaks to the agent. Owners find agents by that row, and drop the
-/// row of one that they could not reach for long, or whose worker has gone.
+/// Schedules the writes of the agent's own row in the table, by which owners find the agent.
+///
+/// The row is written once the agent's worker has sent a heartbeat, and again while
+/// heartbeats arrive and no owner is connected. An owner deletes the row of an agent that it
+/// could not reach for long, or whose worker has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Announcement {
-    /// Lives of the worker when the row was written last, or an owner spoke.
-    told: u64,
-    /// Time until the row is written again, in milliseconds.
-    pause: u64,
-    /// When that is and how many reports there had been when the agent was first found
-    /// alone, if it is.
-    wait: Option<(u64, u64)>,
+    /// Number of the worker's incarnations when the row was last written or an owner was
+    /// connected.
+    announced: u64,
+    /// Milliseconds until the row is written again.
+    retry_delay: u64,
+    /// Time of the next write, and the number of heartbeats when it was scheduled; none while
+    /// an owner is connected.
+    scheduled: Option<(u64, u64)>,
 }
 
-/// An agent whose worker reports, and to which no owner speaks, writes its row again after
-/// this time at first, in milliseconds. An owner that lives dials within 0.4 s of reading the
-/// row, and a change of owner takes some 2 s.
-const ALONE: u64 = 4000;
-/// And after this time if it stays alone.
-const LONG_ALONE: u64 = 64_000;
+/// First delay before the row is written again while no owner is connected. An owner that is
+/// up dials within 0.4 s of reading the row, and a change of owner takes about 2 s.
+const MIN_RETRY_DELAY_MS: u64 = 4000;
+/// Longest delay before the row is written again; the delay doubles with each write.
+const MAX_RETRY_DELAY_MS: u64 = 64_000;
 
 impl Announcement {
-    /// Nothing has been written.
+    /// Starts without a written row.
     pub fn open() -> Announcement {
-        Announcement { told: 0, pause: ALONE, wait: None }
+        Announcement { announced: 0, retry_delay: MIN_RETRY_DELAY_MS, scheduled: None }
     }
 
-    /// When the row is to be written, `now` or later; none if there is no reason to. Asked at
-    /// each report, at each incarnation of the worker and at the time that it has told.
+    /// Returns when the row has to be written, `now` or later; none if no write is due.
     ///
-    /// Another incarnation of the worker is news, and told at once: its owner has dropped the row of
-    /// an agent whose worker had gone, and the new incarnation stands idle until it is found. A
-    /// worker that has not reported since is not announced: a new owner would wait for it.
-    /// The `spread`, 0 to 1, keeps a large deployment that lost its owner from flooding the
-    /// table.
+    /// Called after each heartbeat, for each new incarnation of the worker, and at the time
+    /// that it last returned.
+    ///
+    /// A new incarnation is announced at once: the owner has deleted the row when the former
+    /// one ended, and the new one stays idle until an owner finds it. A worker that has sent
+    /// no heartbeat since is not announced, because a new owner would wait for it. `spread`,
+    /// from 0 to 1, adds jitter, so that a large deployment that lost its owner doesn't flood
+    /// the table.
     pub fn next_write(&mut self, runner: &Runner, spread: f64, now: u64) -> Option<u64> {
         if !runner.awaits_owner() {
-            *self = Announcement { told: runner.incarnation_count(), ..Announcement::open() };
+            *self = Announcement { announced: runner.incarnation_count(), ..Announcement::open() };
             return None;
         }
-        if runner.incarnation_count() != self.told {
+        if runner.incarnation_count() != self.announced {
             return Some(now);
         }
-        let wait = (self.pause as f64 * (0.5 + spread / 2.0)) as u64;
-        let (at, reports) = *self.wait.get_or_insert((now + wait, runner.heartbeat_count()));
-        (now < at || runner.heartbeat_count() > reports).then_some(at)
+        let delay = (self.retry_delay as f64 * (0.5 + spread / 2.0)) as u64;
+        let (at, heartbeats) =
+            *self.scheduled.get_or_insert((now + delay, runner.heartbeat_count()));
+        (now < at || runner.heartbeat_count() > heartbeats).then_some(at)
     }
 
-    /// The row was written, when there had been so many incarnations.
+    /// Records that the row was written when the worker had had this many incarnations.
     pub fn on_written(&mut self, incarnations: u64) {
-        let pause = (self.pause * 2).min(LONG_ALONE);
-        *self = Announcement { told: incarnations, pause, wait: None };
+        let retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY_MS);
+        *self = Announcement { announced: incarnations, retry_delay, scheduled: None };
     }
 }
--- a/crates/runner/src/call.rs
+++ b/crates/runner/src/call.rs
@@ -4,32 +4,32 @@
 /// A call to the worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Call {
-    /// Where the worker listens.
+    /// Address at which the worker listens.
     pub address: String,
-    /// The incarnation of the worker that is meant.
+    /// Id of the worker that the call is for. Another worker at the address refuses it.
     pub worker: String,
-    /// The epoch of the owner, as fencing token.
+    /// The owner's epoch; workers refuse calls with a lower one than they have seen.
     pub fencing_token: u64,
-    /// What the worker is to do.
+    /// The operation.
     pub action: Action,
-    /// Milliseconds after which the call is given up.
+    /// Timeout in milliseconds.
     pub timeout: u64,
 }
 
-/// What a worker is to do.
+/// An operation of a worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
     /// Start a run.
     Start {
         /// The task.
         task: Task,
-        /// Numbers its starts.
+        /// Number of the run; it rises with each start of the task.
         run: u64,
-        /// Given to the task.
+        /// Opaque parameters that the worker passes to the task.
         spec: String,
         /// The checkpoint to resume from; empty for none.
         saved: String,
-        /// What clears the step for this worker; empty where nothing must.
+        /// Clearance of the step for this worker; empty if the queue needs none.
         ticket: String,
         /// When the lease ends, on the worker's clock.
         lease_end: u64,
@@ -38,65 +38,66 @@
     Stop {
         /// The task.
         task: Task,
-        /// Which start of it.
+        /// Number of the run.
         run: u64,
     },
-    /// Let a run work at a share of its speed.
+    /// Throttle a run.
     Pace {
         /// The task.
         task: Task,
-        /// Which start of it.
+        /// Number of the run.
         run: u64,
-        /// The share, 0 to 100.
+        /// Share of its full speed, 0 to 100.
         percent: u32,
     },
-    /// Tell what runs and what ended, and renew the lease.
+    /// Poll the worker for its runs and ends, acknowledge ends, and renew the lease.
     Hold {
-        /// Ends up to here are recorded.
+        /// Ends up to this number are recorded, and the worker may forget them; 0 for none.
         acknowledged: u64,
-        /// When the lease ends, on the worker's clock; none to leave it.
+        /// New end of the lease on the worker's clock; none leaves it unchanged.
         lease_end: Option<u64>,
-        /// Wait for an end for so many milliseconds.
+        /// How long the worker may hold its reply back until a run ends, in milliseconds.
         wait: u64,
     },
 }
 
-/// A worker's answer.
+/// A worker's reply to a call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// Done, for starts and stops.
+    /// A start, a stop or a change of pace was carried out.
     Done {
-        /// The worker's clock.
+        /// The worker's clock, in milliseconds.
         clock: u64,
     },
-    /// The answer to a hold.
+    /// The reply to [`Action::Hold`].
     Held {
-        /// When the worker's process started, as [`quincewheel_job::Worker::born`].
+        /// When the worker's process started, as in [`quincewheel_job::Worker::born`].
         born: u64,
-        /// The worker's clock.
+        /// The worker's clock, in milliseconds.
         clock: u64,
-        /// All that runs.
+        /// All runs in progress.
         running: Vec<Run>,
-        /// Ends that are not yet recorded.
+        /// All ends that have not been acknowledged.
         ended: Vec<End>,
     },
-    /// Refused; nothing was done.
+    /// The worker refused the call and did nothing.
     Refused(Refused),
 }
 
-/// Why a call brought no answer.
+/// Why a call got no reply.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// Nothing was sent: the worker takes no connections.
+    /// Nothing was sent: the worker accepts no connections.
     Unsent {
-        /// What went wrong.
+        /// The error, for the log.
         detail: String,
     },
-    /// It may take effect, now or later.
+    /// The call was sent, and may take effect now or later.
     Unclear {
-        /// The connection broke before the answer; otherwise none came in time.
+        /// The connection broke before the reply; if false, the call timed out or its reply
+        /// could not be read.
         closed: bool,
-        /// What went wrong.
+        /// The error, for the log.
         detail: String,
     },
 }
--- a/crates/runner/src/heartbeat.rs
+++ b/crates/runner/src/heartbeat.rs
@@ -1,14 +1,14 @@
 use quincewheel_job::Worker;
 
-/// A report of the worker about itself.
+/// A worker's periodic report to its agent.
 #[derive(Clone, Copy, Debug)]
 pub struct Heartbeat<'a> {
-    /// What it is.
+    /// The worker's identity, capacity and state.
     pub worker: &'a Worker,
-    /// Where it takes calls.
+    /// Address at which the worker accepts calls.
     pub address: &'a str,
-    /// Its clock, in milliseconds.
+    /// The worker's clock, in milliseconds.
     pub clock: u64,
-    /// Numbers the reports of an incarnation; rises.
+    /// Sequence number within one incarnation; it rises with each heartbeat.
     pub number: u64,
 }
--- a/crates/runner/src/lease.rs
+++ b/crates/runner/src/lease.rs
@@ -1,50 +1,47 @@
-/// The worker's clock as last seen, and the lease that the owner granted.
+/// The lease that the owner granted, and the worker's clock, on which it ends.
 ///
-/// Two clocks are involved: the agent's, on which the owner's grant counts,
-/// and the worker's, on which the lease ends. Where the two drift apart the
-/// lease must end early, never late: the owner starts the work elsewhere once
-/// it takes the lease for lapsed, and a lease that ended late would let one
-/// task run twice.
+/// The owner's grant counts on the agent's clock, but the worker ends the lease by its own. If
+/// the two drift apart, the lease must end early, never late: the owner starts the work elsewhere
+/// once it takes the lease for expired, and a lease that ends late would let one task run twice.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lease {
-    /// The worker's clock, and the agent's when the answer that told it came.
-    seen: Option<(u64, u64)>,
+    /// A reading of the worker's clock, and the agent's clock when it was received.
+    worker_clock: Option<(u64, u64)>,
     /// The agent's time at which the lease must have ended.
     end: Option<u64>,
 }
 
-/// How much slower than true time a worker's clock may run, in percent.
-const SLOW: u64 = 2;
+/// How much slower than true time a worker's clock may run.
+const MAX_CLOCK_LAG_PERCENT: u64 = 2;
 
 impl Lease {
-    /// Takes note of the worker's clock. The answer came at `now`, so the
-    /// clock was read before, and the lease that is reckoned from it errs
-    /// towards early.
+    /// Stores a reading of the worker's clock that was received at `now`. It was taken before,
+    /// so a lease that is computed from it ends early rather than late.
     pub fn set_worker_clock(&mut self, clock: u64, now: u64) {
-        self.seen = Some((clock, now));
+        self.worker_clock = Some((clock, now));
     }
 
-    /// Takes a grant that ends at `end` on the agent's clock. An earlier one
-    /// that arrives late changes nothing.
+    /// Extends the lease to `end` on the agent's clock. A grant that ends earlier than the known
+    /// one, because it was delayed, changes nothing.
     pub fn grant(&mut self, end: u64) {
         self.end = Some(self.end.map_or(end, |known| known.max(end)));
     }
 
-    /// Forgets the worker's clock: another incarnation of the worker has another one.
+    /// Drops the reading of the worker's clock, since each incarnation has another clock.
     pub fn clear_worker_clock(&mut self) {
-        self.seen = None;
+        self.worker_clock = None;
     }
 
-    /// Milliseconds of the lease that are left.
+    /// Milliseconds until the lease ends.
     pub fn remaining(&self, now: u64) -> u64 {
         self.end.map_or(0, |end| end.saturating_sub(now))
     }
 
-    /// When the lease ends on the worker's clock, but no later than `latest` on
-    /// the agent's; none without a grant.
+    /// When the lease ends on the worker's clock, but no later than `latest` on the agent's; none
+    /// without a grant or without a reading of the worker's clock.
     pub fn end_on_worker_clock(&self, latest: u64) -> Option<u64> {
-        let (clock, at) = self.seen?;
+        let (clock, at) = self.worker_clock?;
         let left = self.end?.min(latest).saturating_sub(at);
-        Some(clock + left * (100 - SLOW) / 100)
+        Some(clock + left * (100 - MAX_CLOCK_LAG_PERCENT) / 100)
     }
 }
--- a/crates/runner/src/settings.rs
+++ b/crates/runner/src/settings.rs
@@ -1,32 +1,31 @@
-/// Bounds of a runner, in milliseconds.
+/// Timing of a runner. All times are in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long a grant of the owner lasts. The longest that workers allow.
+    /// Duration of a lease after the owner's grant; the longest that workers accept.
     pub lease: u64,
-    /// How long a worker is asked to wait for an end before it answers. A
-    /// lease is renewed at each answer, so four answers in a row may be lost
-    /// before it runs out; with 2,000, two.
+    /// How long a worker may hold back its reply to a poll until a run ends. Each reply renews
+    /// the lease, so with 1,000 four replies in a row may be lost before it expires, with 2,000
+    /// only two.
     pub poll_wait: u64,
-    /// Time between pings. Leases are renewed at most this old, so a third of
-    /// a lease is left even if two pings are lost.
+    /// Time between pings. The owner's grants count from a ping, so a third of a lease is left
+    /// even if two pings are lost.
     pub ping_interval: u64,
-    /// An order without an answer is repeated on another connection after this
-    /// time. A worker answers in a few milliseconds; much longer and the
-    /// members of a gang give up on one another.
+    /// A call without a reply is repeated on another connection after this time. Workers reply
+    /// within a few milliseconds; with a much longer timeout the members of a gang give up on one
+    /// another.
     pub call_timeout: u64,
-    /// Starts without an answer before the run is stopped.
+    /// Attempts of a start without a reply before the run is stopped.
     pub max_start_attempts: u32,
-    /// A worker that has not reported for so long is looked at, and takes nothing
-    /// new until it answers. Two reports, which come every 1,500 ms, and the time
-    /// that one may take to be acknowledged.
+    /// A worker that has sent no heartbeat for this long is polled, and takes no new work until it
+    /// replies. It covers two heartbeats, which come every 1,500 ms, and the time until one is
+    /// acknowledged.
     pub heartbeat_timeout: u64,
-    /// A start that was confirmed no longer than this before the worker broke its
-    /// connections may be why. A task that crashes its worker does so within some 10 ms;
-    /// the agent on a busy machine learns of it later. Shorter than the time after which a
-    /// task that is listed counts as sound.
+    /// A start is a suspect if it was confirmed no longer than this before the worker broke its
+    /// connections. A task that crashes its worker does so within about 10 ms, but the agent of a
+    /// busy machine detects it later. Must be shorter than the time after which owners take a
+    /// listed task for innocent.
     pub crash_window: u64,
-    /// Pause before a look at the worker while ends wait for their record, and
-    /// after a call that failed.
+    /// Delay before the next poll while ends wait to be recorded, and after a failed call.
     pub retry_delay: u64,
 }
 
