--- a/crates/runner/src/incarnations.rs
+++ b/crates/runner/src/incarnations.rs
@@ -1,154 +1,160 @@
-//! Which incarnation of the worker is there: by its reports, its answers, and its last word.
+//! Which incarnation of the worker is current, by its heartbeats, its replies, and its notice of
+//! leaving.
 
 use quincewheel_job::{Incarnation, Worker};
 use quincewheel_wire::Notice;
 
 use crate::call::Action;
-use crate::crashed::Crashed;
+use crate::candidate::Candidate;
+use crate::crash::Crash;
 use crate::heartbeat::Heartbeat;
 use crate::pending::Pending;
-use crate::rival::Rival;
 use crate::runner::Runner;
 use crate::session::Session;
 
-/// Incarnations that are remembered as over. A report is held up for seconds, and a worker
-/// that crashes again and again takes about a second for each.
-const PAST: usize = 32;
+/// How many ended incarnations are remembered. A heartbeat may be delayed by seconds, and a
+/// worker that crashes repeatedly takes about a second for each incarnation.
+const MAX_ENDED_INCARNATIONS: usize = 32;
 
 impl Runner {
-    /// The worker reported itself.
+    /// Handles a heartbeat of the worker.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat<'_>, now: u64) {
         let Heartbeat { worker, address, clock, number } = *heartbeat;
-        // An incarnation that was replaced does not come back; a report of it was held up
-        // on its way. Believed, all that runs on the incarnation that is there would be
-        // taken for lost, and would start elsewhere beside itself.
-        if self.past.contains(&worker.incarnation()) {
+        // An incarnation that was replaced does not come back, so this heartbeat was delayed. If
+        // it were accepted, all runs of the current incarnation would be taken for lost and
+        // start a second time elsewhere.
+        if self.ended_incarnations.contains(&worker.incarnation()) {
             return;
         }
-        self.reports += 1;
+        self.heartbeat_count += 1;
         match &mut self.session {
-            // An incarnation stays in its pool: this report is another writer's.
+            // An incarnation stays in its pool, so another writer sent this heartbeat.
             Some(session) if session.is(worker) && session.worker.pool != worker.pool => {}
-            // It was held up on its way, and another has come since.
-            Some(session) if session.is(worker) && number <= session.number => {}
+            // Delayed: a newer one has been received.
+            Some(session) if session.is(worker) && number <= session.heartbeat => {}
             Some(session) if session.is(worker) => {
-                session.number = number;
-                // An idle worker is not looked at, so nothing else would tell its owner.
+                session.heartbeat = number;
+                // An idle worker is not polled, so the owner would not learn of these changes.
                 let drains = session.worker.draining != worker.draining;
                 let cooled = session.worker.cold == 0 && worker.cold > 0;
                 let changed = drains || cooled || session.worker.fits_others(worker);
                 session.worker = worker.clone();
-                session.reported = now;
+                session.last_seen = now;
                 address.clone_into(&mut session.address);
                 self.lease.set_worker_clock(clock, now);
                 if changed {
-                    self.tell_status(now);
+                    self.send_status(now);
                 }
             }
-            // Which of the two is there, only a look tells; or a second report, where
-            // the one that was does not answer: what is held up comes once.
-            Some(session) if session.proven && self.epoch > 0 => {
-                let rival = self.rival.as_ref();
-                let again = rival.is_some_and(|rival| rival.worker.is(&worker.incarnation()));
-                if again && now > session.reported + self.settings.heartbeat_timeout {
-                    self.change_session(now);
-                    return self.step(now);
+            // Which of the two incarnations is current is decided by a poll, or by a second
+            // heartbeat if the known one does not reply: a delayed heartbeat arrives once.
+            Some(session) if session.verified && self.epoch > 0 => {
+                let candidate = self.candidate.as_ref();
+                let again =
+                    candidate.is_some_and(|candidate| candidate.worker.is(&worker.incarnation()));
+                if again && now > session.last_seen + self.settings.heartbeat_timeout {
+                    self.switch_session(now);
+                    return self.send_due_calls(now);
                 }
-                session.hold = None;
+                session.poll = None;
                 session.changed = true;
-                session.rest = now;
+                session.next_poll = now;
                 let (worker, address) = (worker.clone(), address.to_owned());
-                self.rival = Some(Rival { worker, address, number });
+                self.candidate = Some(Candidate { worker, address, number });
             }
             _ => {
-                self.replace(worker, address, number, now);
+                self.open_session(worker, address, number, now);
                 self.lease.set_worker_clock(clock, now);
-                self.tell_status(now);
+                self.send_status(now);
             }
         }
-        self.step(now);
+        self.send_due_calls(now);
     }
 
-    /// Another incarnation of the worker is there.
-    pub(crate) fn replace(&mut self, worker: &Worker, address: &str, number: u64, now: u64) {
+    /// Makes an incarnation the current one. Stops the runs that its predecessors may have been
+    /// ordered to start without a reply.
+    pub(crate) fn open_session(&mut self, worker: &Worker, address: &str, number: u64, now: u64) {
         self.lease.clear_worker_clock();
-        self.incarnations += 1;
-        self.left = None;
+        self.incarnation_count += 1;
+        self.departed = None;
         let mut session = Session::open(worker, address, now);
-        session.number = number;
-        for (task, run) in self.unanswered.of(&worker.id, now) {
+        session.heartbeat = number;
+        for (task, run) in self.unanswered.starts_at(&worker.id, now) {
             session.orders.insert(self.next_call, Pending::open(Action::Stop { task, run }));
             self.next_call += 1;
         }
         self.session = Some(session);
     }
 
-    /// The incarnation that was there is over, as its worker's process showed. One that has
-    /// reported since then takes its place.
-    pub(crate) fn change_session(&mut self, now: u64) {
+    /// Ends the current incarnation, whose process has ended, and replaces it by the candidate if
+    /// there is one.
+    pub(crate) fn switch_session(&mut self, now: u64) {
         self.end_session(now);
-        if let Some(Rival { worker, address, number }) = self.rival.take() {
-            self.replace(&worker, &address, number, now);
+        if let Some(Candidate { worker, address, number }) = self.candidate.take() {
+            self.open_session(&worker, &address, number, now);
         }
-        self.tell_status(now);
+        self.send_status(now);
     }
 
-    /// The worker reported that it ends; `worker` says which incarnation, or its id alone.
+    /// Handles the worker's notice that it leaves; `worker` is the incarnation, or the id alone.
     ///
-    /// Where ids are kept, the id alone may be a former incarnation's, whose report was held up.
-    /// It is believed of one that has said that it drains, as each does before a planned end.
+    /// On platforms where ids are kept, a notice with the id alone may be a delayed one of a former
+    /// incarnation. It is accepted only for an incarnation that has reported that it drains, which
+    /// each does before a planned end.
     pub fn on_leave(&mut self, worker: &Incarnation, now: u64) {
         let ends = |known: &Worker| {
-            let told = known.is(worker) || (worker.born == 0 && known.draining);
-            known.id == worker.id && told
+            let meant = known.is(worker) || (worker.born == 0 && known.draining);
+            known.id == worker.id && meant
         };
-        if let Some(rival) = self.rival.take_if(|rival| ends(&rival.worker)) {
-            self.bury(rival.worker.incarnation());
+        if let Some(candidate) = self.candidate.take_if(|candidate| ends(&candidate.worker)) {
+            self.mark_ended(candidate.worker.incarnation());
         }
         if let Some(session) = self.session.as_mut().filter(|session| ends(&session.worker)) {
-            // It ends in good order, and its connections with it.
-            session.broke = None;
+            // A planned end also closes the connections, so this is no crash.
+            session.broken = None;
             let worker = session.worker.incarnation();
             self.end_session(now);
-            self.left = Some(worker.clone());
-            self.tell(Notice::Left { worker });
-            self.tell_status(now);
+            self.departed = Some(worker.clone());
+            self.notify_owner(Notice::Left { worker });
+            self.send_status(now);
         }
     }
 
-    /// Another incarnation answered a look, under the id of the one that is known.
-    pub(crate) fn met_another(&mut self, born: u64, now: u64) {
+    /// Handles a reply to a poll by a process that has the known id, but was started at another
+    /// time.
+    pub(crate) fn on_other_incarnation(&mut self, born: u64, now: u64) {
         let Some(session) = &mut self.session else { return };
-        // A list that does not say which start it is of is another writer's.
+        // A reply that does not name its incarnation comes from another program.
         if born == 0 {
             session.changed = true;
-            session.rest = now + self.settings.retry_delay;
+            session.next_poll = now + self.settings.retry_delay;
             return;
         }
-        let met = Incarnation { id: session.worker.id.clone(), born };
-        self.rival.take_if(|rival| !rival.worker.is(&met));
-        self.change_session(now);
+        let replied = Incarnation { id: session.worker.id.clone(), born };
+        self.candidate.take_if(|candidate| !candidate.worker.is(&replied));
+        self.switch_session(now);
     }
 
-    /// The incarnation that was there is over.
+    /// Closes the session of the current incarnation, and keeps its unanswered starts and its
+    /// crash.
     fn end_session(&mut self, now: u64) {
         let Some(session) = self.session.take() else { return };
         for (task, run) in session.unanswered() {
-            self.unanswered.note(&session.worker.id, task, run, now);
+            self.unanswered.insert(&session.worker.id, task, run, now);
         }
-        let starts = session.broke.filter(|starts| !starts.is_empty() && !session.worker.draining);
+        let starts = session.broken.filter(|starts| !starts.is_empty() && !session.worker.draining);
         if let Some(starts) = starts {
             let worker = session.worker.incarnation();
-            self.crashed.push(Crashed { worker, starts, at: now });
+            self.crashes.push(Crash { worker, starts, at: now });
         }
-        self.bury(session.worker.incarnation());
+        self.mark_ended(session.worker.incarnation());
     }
 
-    /// No report of this incarnation is believed any more.
-    pub(crate) fn bury(&mut self, worker: Incarnation) {
-        self.past.push_back(worker);
-        if self.past.len() > PAST {
-            self.past.pop_front();
+    /// Ignores heartbeats of this incarnation from now on.
+    pub(crate) fn mark_ended(&mut self, worker: Incarnation) {
+        self.ended_incarnations.push_back(worker);
+        if self.ended_incarnations.len() > MAX_ENDED_INCARNATIONS {
+            self.ended_incarnations.pop_front();
         }
     }
 }
--- a/crates/runner/src/lib.rs
+++ b/crates/runner/src/lib.rs
@@ -1,27 +1,26 @@
-//! The agent's side of runs at one worker.
+//! The agent's part in running tasks at one worker.
 //!
-//! A [`Runner`] carries the owner's orders to the worker and the worker's ends
-//! back. It keeps leases alive for as long as the owner grants them, fences
-//! the worker against earlier owners, and settles starts that got no answer.
-//! It performs no I/O and reads no clock: the time is an input, and must be of
-//! a clock that also counts while the machine is suspended, or an agent that
-//! wakes up would extend leases that its owner took for lapsed.
+//! A [`Runner`] forwards the owner's orders to the worker and reports the ends of runs to the
+//! owner. It renews leases while the owner grants them, fences the worker against earlier owners,
+//! and settles starts that got no reply. It performs no I/O and reads no clock: the time is an
+//! input. It must come from a clock that also advances while the machine is suspended; otherwise
+//! an agent that wakes up would extend leases that its owner has taken for expired.
 
 mod announcement;
 mod call;
-mod crashed;
+mod candidate;
+mod crash;
 mod crashes;
 mod heartbeat;
 mod incarnations;
 mod lease;
-mod looks;
 mod orders;
 mod pending;
-mod rival;
+mod polls;
 mod runner;
 mod session;
 mod settings;
-mod stopped;
+mod stop_report;
 mod unanswered;
 
 pub use announcement::Announcement;
--- a/crates/runner/src/orders.rs
+++ b/crates/runner/src/orders.rs
@@ -1,4 +1,4 @@
-//! Starts and stops: given to the worker, repeated, made sure of, and told.
+//! Starts and stops: sending, retries, confirmation and reports to the owner.
 
 use quincewheel_job::{Incarnation, Task};
 use quincewheel_wire::{Notice, Refused};
@@ -6,12 +6,12 @@
 use crate::call::{Action, Fault, Reply};
 use crate::pending::Pending;
 use crate::runner::{Output, Runner};
-use crate::stopped::Stopped;
+use crate::stop_report::StopReport;
 
 impl Runner {
-    /// Passes a pace on. It is not tried again: the owner gives another as long
-    /// as the worker's figures are not what they should be.
-    pub(crate) fn pace(&mut self, worker: &Incarnation, task: Task, run: u64, percent: u32) {
+    /// Forwards a change of pace to the worker. It is not retried, because the owner sends another
+    /// while the worker's measurements are off target.
+    pub(crate) fn on_pace(&mut self, worker: &Incarnation, task: Task, run: u64, percent: u32) {
         let Some(session) = self.session.as_ref().filter(|session| session.worker.is(worker))
         else {
             return;
@@ -22,114 +22,119 @@
         self.next_call += 1;
     }
 
-    pub(crate) fn start(
+    /// Queues a start for the worker. `again` says that the owner has sent the order before.
+    pub(crate) fn on_start(
         &mut self,
         worker: &Incarnation,
         mut action: Action,
         again: bool,
         now: u64,
     ) {
-        let Action::Start { task, run, lease_end: lease, .. } = &mut action else { return };
+        let Action::Start { task, run, lease_end, .. } = &mut action else { return };
         let (task, run) = (task.clone(), *run);
         let until = self.lease.end_on_worker_clock(now + self.settings.lease);
         let until = until.filter(|_| self.lease.remaining(now) > self.settings.lease / 4);
-        // A worker that has not reported yet may run all the same; the owner
-        // asks again once it has.
+        // A worker that has sent no heartbeat yet may be up all the same; the owner sends the
+        // order again once it has.
         let Some(session) = &mut self.session else { return };
         if !session.worker.is(worker) {
-            return self.tell(Notice::Unstarted { task, run, why: Refused::Leaving });
+            return self.notify_owner(Notice::Unstarted { task, run, why: Refused::Leaving });
         }
-        if session.orders.values().any(|pending| pending.starts(&task, run)) {
+        if session.orders.values().any(|pending| pending.is_start_of(&task, run)) {
             return;
         }
-        // A worker that leaves, or whose zone is evacuated, takes nothing new, whatever the
-        // owner knew when it gave the order; nor does one without a lease. But the
-        // order may be a repeated one, and the first may have taken effect.
+        // Nothing new starts at a worker that leaves, whose availability zone is evacuated, or
+        // that has no lease, whatever the owner knew when it sent the order. But if the order is a
+        // repeated one, the first may have taken effect, so the run is stopped.
         let evacuated = self.evacuation.covers(&session.worker.zone);
         let refused = session.worker.draining || evacuated || until.is_none();
-        *lease = until.unwrap_or(0);
-        let mut pending = Pending { doubtful: again, ..Pending::open(action) };
+        *lease_end = until.unwrap_or(0);
+        let mut pending = Pending { may_take_effect: again, ..Pending::open(action) };
         if refused {
-            pending.settle(now);
+            pending.replace_with_stop(now);
         }
         session.orders.insert(self.next_call, pending);
         self.next_call += 1;
     }
 
-    pub(crate) fn stop(&mut self, worker: &Incarnation, task: Task, run: u64) {
+    /// Queues a stop for the worker.
+    pub(crate) fn on_stop(&mut self, worker: &Incarnation, task: Task, run: u64) {
         let Some(session) = self.session.as_mut().filter(|session| session.worker.is(worker))
         else {
             return;
         };
-        // A start that is still being tried must not be repeated after its stop.
-        session.orders.retain(|_, pending| !pending.starts(&task, run));
+        // A start that is still being retried must not be sent again after its stop.
+        session.orders.retain(|_, pending| !pending.is_start_of(&task, run));
         session.orders.insert(self.next_call, Pending::open(Action::Stop { task, run }));
         self.next_call += 1;
     }
 
-    /// The worker takes no connections. Its process is gone, and what ran there
-    /// with it, or only its port is shut, and what runs there goes on until its
-    /// lease ends; a restart takes a moment. Nothing tells which, so nothing new
-    /// goes there until it answers a look, or another incarnation of it does: the worker
-    /// counts as one that has not answered under this epoch.
-    pub(crate) fn unreachable(&mut self, now: u64) {
+    /// Records that the worker accepts no connections.
+    ///
+    /// Either its process has ended, and all its runs with it, or only its port is closed, and its
+    /// runs go on until the lease ends. A restart takes only a moment. As the agent can't tell
+    /// which, nothing starts there until the worker or another incarnation of it replies to a
+    /// poll: the worker counts as not fenced under this epoch.
+    pub(crate) fn mark_unreachable(&mut self, now: u64) {
         let Some(session) = &mut self.session else { return };
         session.changed = true;
         if session.fenced > 0 {
             session.fenced = 0;
-            self.tell_status(now);
+            self.send_status(now);
         }
     }
 
-    /// The worker answered a start or a stop.
-    pub(crate) fn ordered(&mut self, id: u64, answer: Result<Reply, Fault>, now: u64) {
+    /// Handles the reply to a start or a stop.
+    pub(crate) fn on_order_reply(&mut self, id: u64, reply: Result<Reply, Fault>, now: u64) {
         let Some(session) = &mut self.session else { return };
         let Some(pending) = session.orders.get_mut(&id) else { return };
         let start = pending.is_start();
-        if answer.is_err() {
-            session.sure = false;
+        if reply.is_err() {
+            session.no_failed_calls = false;
         }
-        match answer {
+        match reply {
             Ok(Reply::Done { clock } | Reply::Held { clock, .. }) => {
                 session.changed = true;
-                session.rest = now;
+                session.next_poll = now;
                 if start {
                     let (task, run) = pending.run();
-                    session.note_start(task, run, self.settings.crash_window, now);
+                    session.record_start(task, run, self.settings.crash_window, now);
                 }
                 self.lease.set_worker_clock(clock, now);
-                self.close(id, None);
+                self.finish_order(id, None);
             }
-            Err(Fault::Unsent { .. }) if start && !pending.doubtful => {
-                // First the status: nothing else may be ordered there.
-                self.unreachable(now);
-                self.close(id, Some(Refused::Unreachable));
+            Err(Fault::Unsent { .. }) if start && !pending.may_take_effect => {
+                // The status goes first, so that the owner orders nothing else there.
+                self.mark_unreachable(now);
+                self.finish_order(id, Some(Refused::Unreachable));
             }
             Err(Fault::Unsent { .. }) => {
-                self.retry(id, now);
-                self.unreachable(now);
+                self.retry_order(id, now);
+                self.mark_unreachable(now);
             }
-            Ok(Reply::Refused(Refused::Busy)) => self.retry(id, now),
+            Ok(Reply::Refused(Refused::Busy)) => self.retry_order(id, now),
             Err(Fault::Unclear { .. }) => {
-                pending.doubtful = true;
+                pending.may_take_effect = true;
                 if start {
                     let (task, run) = pending.run();
-                    self.unanswered.note(&session.worker.id, task, run, now);
+                    self.unanswered.insert(&session.worker.id, task, run, now);
                 }
-                self.retry(id, now);
+                self.retry_order(id, now);
             }
-            // An earlier try without an answer may still take effect, and what is
-            // refused as old may have run.
-            Ok(Reply::Refused(why)) if start && (pending.doubtful || why == Refused::Old) => {
-                pending.settle(now);
+            // An earlier attempt without a reply may still take effect, and a run that is refused
+            // as old may have run.
+            Ok(Reply::Refused(why))
+                if start && (pending.may_take_effect || why == Refused::Old) =>
+            {
+                pending.replace_with_stop(now);
             }
-            Ok(Reply::Refused(why)) => self.close(id, Some(why)),
+            Ok(Reply::Refused(why)) => self.finish_order(id, Some(why)),
         }
     }
 
-    /// Tells what became of an order that needs no more tries. A stop that was
-    /// refused is through as well: nothing of the run is there.
-    fn close(&mut self, id: u64, refused: Option<Refused>) {
+    /// Removes an order that needs no more attempts, and reports its outcome. A refused stop counts
+    /// as confirmed, because the worker then has nothing of the run.
+    fn finish_order(&mut self, id: u64, refused: Option<Refused>) {
         let Some(pending) = self.session.as_mut().and_then(|session| session.orders.remove(&id))
         else {
             return;
@@ -137,46 +142,48 @@
         let (task, run) = pending.run();
         let start = pending.is_start();
         match refused {
-            None if start => self.tell(Notice::Started { task, run }),
-            Some(why) if start => self.tell(Notice::Unstarted { task, run, why }),
-            _ if pending.unclear => {
-                self.stopped(Notice::Unstarted { task, run, why: Refused::Silent });
+            None if start => self.notify_owner(Notice::Started { task, run }),
+            Some(why) if start => self.notify_owner(Notice::Unstarted { task, run, why }),
+            _ if pending.replaces_start => {
+                self.defer_stop_report(Notice::Unstarted { task, run, why: Refused::Silent });
             }
-            _ => self.stopped(Notice::Stopped { task, run }),
+            _ => self.defer_stop_report(Notice::Stopped { task, run }),
         }
     }
 
-    fn stopped(&mut self, notice: Notice) {
-        let look = self.next_call;
+    /// Holds the report of a stop back until a poll that is sent from now on shows that the run has
+    /// ended.
+    fn defer_stop_report(&mut self, notice: Notice) {
+        let min_poll = self.next_call;
         if let Some(session) = &mut self.session {
-            session.stopped.push(Stopped { notice, look });
-            // A look that is under way began before, and may wait for long.
-            session.hold = None;
+            session.stop_reports.push(StopReport { notice, min_poll });
+            // The poll in flight was sent before the stop, and its reply may be held back long.
+            session.poll = None;
         }
     }
 
-    /// An order was not carried out, or got no answer. The same order again is
-    /// harmless, since a run starts once. After the last try, a start that the
-    /// worker refused each time has not taken effect and cannot any more. One that
-    /// once got no answer may still, seconds later: it is stopped, and a worker
-    /// refuses a start that comes after its stop, so that the task can then safely
-    /// start elsewhere.
-    fn retry(&mut self, id: u64, now: u64) {
-        let pause = self.settings.retry_delay;
+    /// Schedules another attempt of an order that was refused or got no reply, or gives up.
+    ///
+    /// Repeating an order is harmless, since a run starts at most once. After the last attempt, a
+    /// start that the worker refused each time has not taken effect and no longer can. One that
+    /// got no reply may take effect seconds later, so its run is stopped: the worker refuses a
+    /// start that arrives after its stop, and the task can safely start elsewhere.
+    fn retry_order(&mut self, id: u64, now: u64) {
+        let delay = self.settings.retry_delay;
         let Some(session) = &mut self.session else { return };
         let evacuated = self.evacuation.covers(&session.worker.zone);
-        let tries = if evacuated { 1 } else { self.settings.max_start_attempts };
+        let max_attempts = if evacuated { 1 } else { self.settings.max_start_attempts };
         let Some(pending) = session.orders.get_mut(&id) else { return };
-        pending.tries += 1;
+        pending.attempts += 1;
         let start = pending.is_start();
-        if start && pending.tries < tries {
-            pending.again = Some(now);
-        } else if start && !pending.doubtful {
-            self.close(id, Some(Refused::Busy));
+        if start && pending.attempts < max_attempts {
+            pending.retry_at = Some(now);
+        } else if start && !pending.may_take_effect {
+            self.finish_order(id, Some(Refused::Busy));
         } else if start {
-            pending.settle(now);
+            pending.replace_with_stop(now);
         } else {
-            pending.again = Some(now + pause);
+            pending.retry_at = Some(now + delay);
         }
     }
 }
--- a/crates/runner/src/pending.rs
+++ b/crates/runner/src/pending.rs
@@ -2,25 +2,32 @@
 
 use crate::call::Action;
 
-/// An order whose answer is awaited.
+/// An order to start or stop a run that the worker has not confirmed yet.
 pub(crate) struct Pending {
     pub action: Action,
-    pub tries: u32,
-    /// An earlier try of the start got no answer, and may take effect yet.
-    pub doubtful: bool,
-    /// Why the run is being stopped, if it is because its start is unclear.
-    pub unclear: bool,
-    /// Repeat it at this time; none while a call is under way.
-    pub again: Option<u64>,
+    /// Failed attempts.
+    pub attempts: u32,
+    /// An earlier attempt of the start got no reply and may still take effect.
+    pub may_take_effect: bool,
+    /// The stop replaced a start whose outcome is unknown.
+    pub replaces_start: bool,
+    /// When the next attempt is due; none while a call is in flight.
+    pub retry_at: Option<u64>,
 }
 
 impl Pending {
-    /// An order to be given at once.
+    /// Creates an order whose first attempt is due at once.
     pub fn open(action: Action) -> Pending {
-        Pending { action, tries: 0, doubtful: false, unclear: false, again: Some(0) }
+        Pending {
+            action,
+            attempts: 0,
+            may_take_effect: false,
+            replaces_start: false,
+            retry_at: Some(0),
+        }
     }
 
-    pub fn starts(&self, task: &Task, run: u64) -> bool {
+    pub fn is_start_of(&self, task: &Task, run: u64) -> bool {
         matches!(&self.action, Action::Start { task: t, run: r, .. } if t == task && *r == run)
     }
 
@@ -28,24 +35,25 @@
         matches!(self.action, Action::Start { .. })
     }
 
-    /// True if a start was made and its answer is awaited.
-    pub fn is_on_way(&self) -> bool {
-        self.is_start() && self.again.is_none()
+    /// True if this is a start that was sent and has no reply yet.
+    pub fn is_start_in_flight(&self) -> bool {
+        self.is_start() && self.retry_at.is_none()
     }
 
-    /// Stops the run, since its start is unclear.
-    pub fn settle(&mut self, now: u64) {
+    /// Turns a start whose outcome is unknown into a stop of the same run.
+    pub fn replace_with_stop(&mut self, now: u64) {
         let (task, run) = self.run();
         self.action = Action::Stop { task, run };
-        self.unclear = true;
-        self.again = Some(now);
+        self.replaces_start = true;
+        self.retry_at = Some(now);
     }
 
+    /// The task and the number of the run.
     pub fn run(&self) -> (Task, u64) {
         match &self.action {
             Action::Start { task, run, .. } | Action::Stop { task, run } => (task.clone(), *run),
             Action::Hold { .. } | Action::Pace { .. } => {
-                unreachable!("only starts and stops are kept among orders")
+                unreachable!("only starts and stops are stored as pending orders")
             }
         }
     }
--- a/crates/runner/src/polls.rs
+++ b/crates/runner/src/polls.rs
@@ -29,11 +29,8 @@
                 session.ended = ended;
                 let recorded = session.recorded;
                 session.ended.retain(|end| end.number > recorded);
-                session.next_poll = if session.ended.is_empty() {
-                    now
-                } else {
-                    now + self.settings.retry_delay
-                };
+                session.next_poll =
+                    if session.ended.is_empty() { now } else { now + self.settings.retry_delay };
                 session.last_seen = now;
                 session.verified = true;
                 session.broken = None;
--- a/crates/runner/src/runner.rs
+++ b/crates/runner/src/runner.rs
@@ -4,196 +4,201 @@
 use quincewheel_wire::{LinkId, Notice, Order};
 
 use crate::call::{Action, Call, Fault, Reply};
-use crate::crashed::Crashed;
+use crate::candidate::Candidate;
+use crate::crash::Crash;
 use crate::lease::Lease;
 use crate::pending::Pending;
-use crate::rival::Rival;
 use crate::session::Session;
 use crate::settings::Settings;
 use crate::unanswered::Unanswered;
 
-/// What the runner wants done.
+/// An effect that the agent has to carry out for the runner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Call the worker and hand the answer to [`Runner::on_reply`].
+    /// Call the worker and pass the result to [`Runner::on_reply`].
     Call {
-        /// Names the call.
+        /// Identifies the call.
         id: u64,
         /// The call.
         call: Call,
     },
-    /// Tell the owner.
+    /// Send a notice to an owner.
     Send {
-        /// On which connection.
+        /// The connection to that owner.
         link: LinkId,
-        /// What.
+        /// The notice.
         notice: Notice,
     },
-    /// Close a connection of an owner that was replaced.
+    /// Close the connection of an owner that was replaced or is silent.
     Close {
         /// The connection.
         link: LinkId,
     },
 }
 
-/// Carries orders to one worker and its ends back.
+/// Forwards orders of the owner to one worker, and reports the worker's state to the owner.
+///
+/// All times are in milliseconds on the agent's clock.
 pub struct Runner {
     pub(crate) settings: Settings,
     pub(crate) epoch: u64,
+    /// The connection to the owner.
     pub(crate) link: Option<LinkId>,
+    /// The current incarnation of the worker.
     pub(crate) session: Option<Session>,
-    /// The incarnation that said it ends, until another one reports.
-    pub(crate) left: Option<Incarnation>,
-    /// Another incarnation that has reported; whether it is there or its report was held up
-    /// is known after a look at the one that was.
-    pub(crate) rival: Option<Rival>,
-    /// Incarnations of the worker that are known to be over, the newest last.
-    pub(crate) past: VecDeque<Incarnation>,
-    /// Starts that got no answer.
+    /// The incarnation that gave notice of its end, until another one sends a heartbeat.
+    pub(crate) departed: Option<Incarnation>,
+    /// Another incarnation that has sent a heartbeat. A poll of the known one shows whether it is
+    /// current, or its heartbeat was delayed.
+    pub(crate) candidate: Option<Candidate>,
+    /// Incarnations of the worker that are known to have ended, the newest last.
+    pub(crate) ended_incarnations: VecDeque<Incarnation>,
+    /// Starts that got no reply.
     pub(crate) unanswered: Unanswered,
-    /// Those of them that broke their connections just after a start.
-    pub(crate) crashed: Vec<Crashed>,
-    /// Lives of the worker that have reported.
-    pub(crate) incarnations: u64,
-    /// Reports of the worker that were taken.
-    pub(crate) reports: u64,
+    /// Incarnations that broke their connections just after starts, and ended.
+    pub(crate) crashes: Vec<Crash>,
+    pub(crate) incarnation_count: u64,
+    pub(crate) heartbeat_count: u64,
     pub(crate) lease: Lease,
-    /// Availability zones in which nothing starts any more.
+    /// Availability zones in which nothing may start.
     pub(crate) evacuation: Evacuation,
     pub(crate) next_call: u64,
-    pub(crate) pinged: u64,
-    /// When an owner last said anything.
-    pub(crate) spoken: u64,
+    pub(crate) last_ping: u64,
+    /// When the owner last sent an order.
+    pub(crate) last_order: u64,
     pub(crate) outputs: Vec<Output>,
 }
 
 impl Runner {
-    /// A runner that knows no worker and no owner.
+    /// Creates a runner without a worker and an owner.
     pub fn open(settings: Settings) -> Runner {
         Runner {
             settings,
             epoch: 0,
             link: None,
             session: None,
-            left: None,
-            rival: None,
-            past: VecDeque::new(),
+            departed: None,
+            candidate: None,
+            ended_incarnations: VecDeque::new(),
             unanswered: Unanswered::default(),
-            crashed: Vec::new(),
-            incarnations: 0,
-            reports: 0,
+            crashes: Vec::new(),
+            incarnation_count: 0,
+            heartbeat_count: 0,
             lease: Lease::default(),
             evacuation: Evacuation::default(),
             next_call: 1,
-            pinged: 0,
-            spoken: 0,
+            last_ping: 0,
+            last_order: 0,
             outputs: Vec::new(),
         }
     }
 
-    /// The bounds changed.
+    /// Applies changed settings.
     pub fn update_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// Takes what is to be done.
+    /// Returns the effects to carry out, in order, and clears the list.
     pub fn outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// The epoch that the agent follows; 0 before the first claim.
+    /// The epoch of the owner that the agent follows; 0 before the first claim.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// True if there is a worker and no owner speaks for it.
+    /// True if there is a worker, but no connection to an owner.
     pub fn awaits_owner(&self) -> bool {
         self.session.is_some() && self.link.is_none()
     }
 
-    /// The worker as it reported itself, if it is there.
+    /// The worker as of its newest heartbeat; none if it has ended or sent none yet.
     pub fn worker(&self) -> Option<&Worker> {
         self.session.as_ref().map(|session| &session.worker)
     }
 
-    /// How many incarnations of the worker have reported.
+    /// Number of incarnations of the worker that have been the current one.
     pub fn incarnation_count(&self) -> u64 {
-        self.incarnations
+        self.incarnation_count
     }
 
-    /// How many reports of the worker were taken.
+    /// Number of heartbeats, without those of ended incarnations.
     pub fn heartbeat_count(&self) -> u64 {
-        self.reports
+        self.heartbeat_count
     }
 
-    /// An order came.
+    /// Handles an order that arrived on a connection. All but claims are ignored unless the
+    /// connection is the owner's.
     pub fn on_order(&mut self, link: LinkId, order: Order, now: u64) {
         if self.link == Some(link) {
-            self.spoken = now;
+            self.last_order = now;
         }
         if let Order::Claim { epoch } = order {
-            self.claim(link, epoch, now);
+            self.on_claim(link, epoch, now);
         } else if self.link == Some(link) {
-            self.obey(order, now);
+            self.on_owner_order(order, now);
         }
-        self.step(now);
+        self.send_due_calls(now);
     }
 
-    /// A connection is gone.
+    /// Handles the end of a connection.
     pub fn on_disconnect(&mut self, link: LinkId) {
         if self.link == Some(link) {
             self.link = None;
         }
     }
 
-    /// The worker answered a call, or did not.
-    pub fn on_reply(&mut self, id: u64, answer: Result<Reply, Fault>, now: u64) {
-        // A refusal is no such answer: an unhealthy worker that refused every look
-        // kept its silence at nothing, and a new owner waited for it without end.
-        let proves = matches!(answer, Ok(Reply::Held { .. } | Reply::Done { .. }));
-        if let Some(session) = self.session.as_mut().filter(|session| proves && session.made(id)) {
-            session.answered = now;
+    /// Handles the worker's reply to the call `id`, or the failure of the call.
+    pub fn on_reply(&mut self, id: u64, reply: Result<Reply, Fault>, now: u64) {
+        // A refusal is no sign of life: an unhealthy worker that refuses every poll would never
+        // count as silent, and a new owner would wait for it forever.
+        let proves = matches!(reply, Ok(Reply::Held { .. } | Reply::Done { .. }));
+        if let Some(session) =
+            self.session.as_mut().filter(|session| proves && session.awaits_reply(id))
+        {
+            session.last_reply = now;
         }
-        let broke = match answer {
-            Err(Fault::Unclear { closed: true, .. }) => self.broke(id, true, now),
-            Err(Fault::Unsent { .. }) => self.broke(id, false, now),
+        let broke = match reply {
+            Err(Fault::Unclear { closed: true, .. }) => self.on_connection_broken(id, true, now),
+            Err(Fault::Unsent { .. }) => self.on_connection_broken(id, false, now),
             _ => false,
         };
-        let held =
-            self.session.as_ref().and_then(|session| session.hold).filter(|hold| hold.0 == id);
-        if let Some((_, epoch)) = held {
-            self.held(id, epoch, answer, now);
+        let poll =
+            self.session.as_ref().and_then(|session| session.poll).filter(|poll| poll.0 == id);
+        if let Some((_, epoch)) = poll {
+            self.on_poll_reply(id, epoch, reply, now);
         } else {
-            self.ordered(id, answer, now);
+            self.on_order_reply(id, reply, now);
         }
-        // Whether its process is gone, the next look tells: after the pause that follows other
-        // failures all that ran there would start elsewhere 300 ms later.
+        // The next poll shows whether the worker's process has ended. With the delay that follows
+        // other failures, all its runs would start elsewhere 300 ms later.
         if let Some(session) = self.session.as_mut().filter(|_| broke) {
-            session.rest = now;
+            session.next_poll = now;
         }
-        self.step(now);
+        self.send_due_calls(now);
     }
 
-    /// Time passed.
+    /// Does what is due at `now`. [`Runner::next_tick`] says when to call it.
     pub fn tick(&mut self, now: u64) {
-        self.leave_silent(now);
-        if now >= self.pinged + self.settings.ping_interval
+        self.drop_silent_owner(now);
+        if now >= self.last_ping + self.settings.ping_interval
             && let Some(link) = self.link
         {
-            self.pinged = now;
+            self.last_ping = now;
             let silent =
-                self.session.as_ref().map_or(0, |session| now.saturating_sub(session.answered));
+                self.session.as_ref().map_or(0, |session| now.saturating_sub(session.last_reply));
             self.send(link, Notice::Ping { stamp: now, silent });
         }
-        self.step(now);
+        self.send_due_calls(now);
     }
 
-    /// Leaves an owner that has said nothing for a whole lease. A cut may leave a
-    /// connection open that carries nothing; the owner has closed its end and dropped
-    /// this agent's row, and an agent that believes in it would never announce itself.
-    fn leave_silent(&mut self, now: u64) {
+    /// Closes the connection of an owner that has sent nothing for a whole lease. A network
+    /// partition may leave a connection half open: the owner has closed its end and deleted this
+    /// agent's row, and an agent that kept the connection would never announce itself.
+    fn drop_silent_owner(&mut self, now: u64) {
         if let Some(link) = self.link
-            && now >= self.spoken + self.settings.lease
+            && now >= self.last_order + self.settings.lease
         {
             self.link = None;
             self.outputs.push(Output::Close { link });
@@ -202,24 +207,26 @@
 
     /// When [`Runner::tick`] is due at the latest.
     ///
-    /// Without a connection no ping is due: the agent would wake up 200 times a
-    /// second for as long as no owner speaks to it.
+    /// No ping is due without a connection; otherwise the agent would wake up 200 times a second
+    /// while no owner is connected.
     pub fn next_tick(&self, now: u64) -> u64 {
-        let mut wake = now + self.settings.ping_interval;
+        let mut next = now + self.settings.ping_interval;
         if self.link.is_some() {
-            wake = wake.min(self.pinged + self.settings.ping_interval);
+            next = next.min(self.last_ping + self.settings.ping_interval);
         }
         if let Some(session) = &self.session {
-            let again = session.orders.values().filter_map(|pending| pending.again);
-            wake = again.fold(wake, u64::min);
-            if session.hold.is_none() && session.busy(self.epoch) {
-                wake = wake.min(session.rest);
+            let retries = session.orders.values().filter_map(|pending| pending.retry_at);
+            next = retries.fold(next, u64::min);
+            if session.poll.is_none() && session.needs_poll(self.epoch) {
+                next = next.min(session.next_poll);
             }
         }
-        wake
+        next
     }
 
-    fn claim(&mut self, link: LinkId, epoch: u64, now: u64) {
+    /// Follows the owner that claims `epoch`, unless it is lower than the known one, and reports
+    /// the worker's state to it.
+    fn on_claim(&mut self, link: LinkId, epoch: u64, now: u64) {
         if epoch < self.epoch {
             let epoch = self.epoch;
             self.send(link, Notice::Superseded { epoch });
@@ -238,68 +245,69 @@
             self.epoch = epoch;
             self.evacuation = Evacuation::default();
             if let Some(session) = &mut self.session {
-                // The look under way carries the former epoch; its answer
-                // would not prove that the worker is fenced.
-                session.hold = None;
-                session.rest = now;
+                // The poll in flight carries the former epoch, so its reply would not prove that
+                // the worker is fenced.
+                session.poll = None;
+                session.next_poll = now;
                 session.orders.clear();
             }
         }
-        self.pinged = now;
-        self.spoken = now;
-        if let Some(worker) = self.left.clone() {
-            self.tell(Notice::Left { worker });
+        self.last_ping = now;
+        self.last_order = now;
+        if let Some(worker) = self.departed.clone() {
+            self.notify_owner(Notice::Left { worker });
         }
-        self.tell_status(now);
-        self.tell_crashed(now);
-        self.tell_broke();
+        self.send_status(now);
+        self.send_crashes(now);
+        self.send_broke();
     }
 
-    fn obey(&mut self, order: Order, now: u64) {
+    /// Handles an order of the current owner other than a claim.
+    fn on_owner_order(&mut self, order: Order, now: u64) {
         match order {
             Order::Claim { .. } => {}
             Order::Grant { stamp } => self.lease.grant(stamp + self.settings.lease),
             Order::Evacuate { zones } => self.evacuation = zones,
             Order::Start { worker, task, run, spec, saved, ticket, again } => {
                 let action = Action::Start { task, run, spec, saved, ticket, lease_end: 0 };
-                self.start(&worker, action, again, now);
+                self.on_start(&worker, action, again, now);
             }
-            Order::Pace { worker, task, run, percent } => self.pace(&worker, task, run, percent),
-            Order::Stop { worker, task, run } => self.stop(&worker, task, run),
+            Order::Pace { worker, task, run, percent } => self.on_pace(&worker, task, run, percent),
+            Order::Stop { worker, task, run } => self.on_stop(&worker, task, run),
             Order::Seen { worker, number } => {
                 if let Some(session) =
                     self.session.as_mut().filter(|session| session.worker.is(&worker))
                 {
-                    session.seen = session.seen.max(number);
+                    session.recorded = session.recorded.max(number);
                     session.ended.retain(|end| end.number > number);
-                    session.rest = now;
+                    session.next_poll = now;
                 }
             }
         }
     }
 
-    /// Makes the calls that are due.
-    pub(crate) fn step(&mut self, now: u64) {
+    /// Sends the orders and the poll that are due.
+    pub(crate) fn send_due_calls(&mut self, now: u64) {
         let Some(session) = &mut self.session else { return };
-        let quiet = now >= session.reported + self.settings.heartbeat_timeout;
-        session.changed |= quiet && session.hold.is_none();
-        if !session.busy(self.epoch) && session.orders.is_empty() {
-            session.answered = now;
+        let quiet = now >= session.last_seen + self.settings.heartbeat_timeout;
+        session.changed |= quiet && session.poll.is_none();
+        if !session.needs_poll(self.epoch) && session.orders.is_empty() {
+            session.last_reply = now;
         }
-        let until = self.lease.end_on_worker_clock(session.answered + self.settings.lease);
+        let lease_end = self.lease.end_on_worker_clock(session.last_reply + self.settings.lease);
         let settings = &self.settings;
-        let due = |pending: &Pending| pending.again.is_some_and(|at| at <= now);
+        let due = |pending: &Pending| pending.retry_at.is_some_and(|at| at <= now);
         let ids: Vec<u64> =
             session.orders.iter().filter(|(_, pending)| due(pending)).map(|(&id, _)| id).collect();
         for id in ids {
-            // Each try is a call of its own name, so that the answer to an
-            // earlier one that comes late is not taken for this one's.
+            // Each attempt has a call id of its own, so that a late reply to an earlier one is not
+            // taken for the reply to this one.
             let Some(mut pending) = session.orders.remove(&id) else { continue };
-            pending.again = None;
-            if let (Action::Start { lease_end: lease, .. }, Some(renewed)) =
-                (&mut pending.action, until)
+            pending.retry_at = None;
+            if let (Action::Start { lease_end: end, .. }, Some(renewed)) =
+                (&mut pending.action, lease_end)
             {
-                *lease = renewed;
+                *end = renewed;
             }
             let call = session.call(self.epoch, pending.action.clone(), settings.call_timeout);
             let id = self.next_call;
@@ -307,24 +315,25 @@
             session.orders.insert(id, pending);
             self.outputs.push(Output::Call { id, call });
         }
-        if session.hold.is_none() && session.busy(self.epoch) && now >= session.rest {
-            let fresh = session.fenced == self.epoch && session.ended.is_empty();
+        if session.poll.is_none() && session.needs_poll(self.epoch) && now >= session.next_poll {
+            let settled = session.fenced == self.epoch && session.ended.is_empty();
             let idle = session.running.is_empty() && session.orders.is_empty();
-            let acknowledged = session.acknowledged();
-            let waits = fresh && !idle && !session.owes_acknowledgement();
+            let acknowledged = session.next_acknowledgement();
+            let waits = settled && !idle && !session.owes_acknowledgement();
             let wait = if waits { settings.poll_wait } else { 0 };
-            let action = Action::Hold { acknowledged, lease_end: until, wait };
+            let action = Action::Hold { acknowledged, lease_end, wait };
             let call = session.call(self.epoch, action, wait + settings.call_timeout);
             let id = self.next_call;
             self.next_call += 1;
-            session.hold = Some((id, self.epoch));
-            session.asked = acknowledged;
+            session.poll = Some((id, self.epoch));
+            session.sent_acknowledgement = acknowledged;
             session.changed = false;
             self.outputs.push(Output::Call { id, call });
         }
     }
 
-    pub(crate) fn tell_status(&mut self, now: u64) {
+    /// Reports the state of the worker to the owner.
+    pub(crate) fn send_status(&mut self, now: u64) {
         let notice = match &self.session {
             None => Notice::Status {
                 stamp: now,
@@ -336,16 +345,17 @@
             Some(session) => Notice::Status {
                 stamp: now,
                 worker: Some(session.worker.clone()),
-                // One that broke its connections answers nothing until it is looked at again.
-                fenced: session.fenced == self.epoch && session.broke.is_none(),
+                // After a broken connection the worker is not fenced until it replies to a poll.
+                fenced: session.fenced == self.epoch && session.broken.is_none(),
                 running: session.running.clone(),
                 ended: session.ended.clone(),
             },
         };
-        self.tell(notice);
+        self.notify_owner(notice);
     }
 
-    pub(crate) fn tell(&mut self, notice: Notice) {
+    /// Sends a notice to the owner; dropped if none is connected.
+    pub(crate) fn notify_owner(&mut self, notice: Notice) {
         if let Some(link) = self.link {
             self.send(link, notice);
         }
--- a/crates/runner/src/session.rs
+++ b/crates/runner/src/session.rs
@@ -4,50 +4,51 @@
 
 use crate::call::{Action, Call};
 use crate::pending::Pending;
-use crate::stopped::Stopped;
+use crate::stop_report::StopReport;
 
-/// What is known of one incarnation of the worker.
+/// The state of one incarnation of the worker, as far as the agent knows it.
 pub(crate) struct Session {
     pub worker: Worker,
     pub address: String,
-    /// The highest epoch under which it answered.
+    /// The highest epoch under which the worker replied to a poll; 0 for none. It is reset when
+    /// the worker accepts no connections.
     pub fenced: u64,
     pub running: Vec<Run>,
     pub ended: Vec<End>,
-    /// Ends up to here are recorded by the owner.
-    pub seen: u64,
-    /// Ends up to here the worker knows to be recorded.
-    pub told: u64,
-    /// What the look that is under way, or was last, told as recorded.
-    pub asked: u64,
-    /// The look that is under way, with its epoch.
-    pub hold: Option<(u64, u64)>,
-    /// No look before this time.
-    pub rest: u64,
-    /// When the worker last did what it was called for and said so, or owed no
-    /// answer. A lease ends no later than a full lease from here, so that a
-    /// worker whose answers are lost, but which hears every renewal, does not run
-    /// on unseen.
-    pub answered: u64,
-    /// It has answered a look.
-    pub proven: bool,
-    /// Each call since the last look that this incarnation answered was answered as well.
-    pub sure: bool,
-    /// The number of the last report that was taken.
-    pub number: u64,
-    /// When the worker last reported or answered a look.
-    pub reported: u64,
-    /// Something changed at the worker since the last look began.
+    /// The owner has recorded all ends up to this number.
+    pub recorded: u64,
+    /// The worker has received the acknowledgement of all ends up to this number.
+    pub acknowledged: u64,
+    /// The acknowledgement that the most recent poll carried.
+    pub sent_acknowledgement: u64,
+    /// The call id and the epoch of the poll in flight.
+    pub poll: Option<(u64, u64)>,
+    /// No poll is sent before this time.
+    pub next_poll: u64,
+    /// When the worker last carried out a call and replied, or had no call to reply to. The lease
+    /// ends no later than a full lease after this, so that a worker whose replies are lost, but
+    /// which receives each renewal, does not run on without the agent's knowledge.
+    pub last_reply: u64,
+    /// The incarnation has replied to a poll.
+    pub verified: bool,
+    /// No call has failed since the last poll that this incarnation replied to.
+    pub no_failed_calls: bool,
+    /// Sequence number of the newest heartbeat.
+    pub heartbeat: u64,
+    /// When the worker last sent a heartbeat or replied to a poll.
+    pub last_seen: u64,
+    /// The worker's state has changed, or may have, since the last poll was sent.
     pub changed: bool,
-    /// Stops that the worker confirmed, told once a look that began later was
-    /// answered: only then is it sure that the run does not go on.
-    pub stopped: Vec<Stopped>,
+    /// Confirmed stops that have not been reported. Only the reply to a later poll shows that the
+    /// run has ended.
+    pub stop_reports: Vec<StopReport>,
+    /// Unconfirmed orders by the id of their latest call.
     pub orders: BTreeMap<u64, Pending>,
-    /// Starts that were confirmed of late, and when.
-    pub fresh: Vec<(Task, u64, u64)>,
-    /// The starts just before the worker broke its connections, if it has, and has not
-    /// answered since.
-    pub broke: Option<Vec<(Task, u64)>>,
+    /// Recently confirmed starts: task, number of the run, and time of the confirmation.
+    pub recent_starts: Vec<(Task, u64, u64)>,
+    /// The starts just before the worker broke its connections; none if it has replied to a poll
+    /// since, or has not broken any.
+    pub broken: Option<Vec<(Task, u64)>>,
 }
 
 impl Session {
@@ -58,94 +59,98 @@
             fenced: 0,
             running: Vec::new(),
             ended: Vec::new(),
-            seen: 0,
-            told: 0,
-            asked: 0,
-            hold: None,
-            rest: 0,
-            answered: now,
-            proven: false,
-            sure: false,
-            number: 0,
-            reported: now,
+            recorded: 0,
+            acknowledged: 0,
+            sent_acknowledgement: 0,
+            poll: None,
+            next_poll: 0,
+            last_reply: now,
+            verified: false,
+            no_failed_calls: false,
+            heartbeat: 0,
+            last_seen: now,
             changed: false,
-            stopped: Vec::new(),
+            stop_reports: Vec::new(),
             orders: BTreeMap::new(),
-            fresh: Vec::new(),
-            broke: None,
+            recent_starts: Vec::new(),
+            broken: None,
         }
     }
 
-    /// True if the report is of this incarnation.
+    /// True if the heartbeat is from this incarnation.
     pub fn is(&self, worker: &Worker) -> bool {
         self.worker.is(&worker.incarnation())
     }
 
-    /// Up to which number the next look tells that ends are recorded; 0 if it tells nothing.
+    /// The number up to which the next poll acknowledges ends; 0 if it acknowledges none.
     ///
-    /// A call names the worker by its id only, and one that has started again numbers its ends
-    /// from 1: told the number of a former incarnation, it would forget ends that nobody has
-    /// seen, and their tasks would run again.
-    pub fn acknowledged(&self) -> u64 {
-        if self.is_sure() && self.seen > self.told { self.seen } else { 0 }
+    /// A call names the worker by its id only, and a restarted worker numbers its ends from 1. If
+    /// it received an acknowledgement that is meant for its former incarnation, it would forget
+    /// ends that nobody has recorded, and their tasks would run again.
+    pub fn next_acknowledgement(&self) -> u64 {
+        if self.is_same_process() && self.recorded > self.acknowledged { self.recorded } else { 0 }
     }
 
-    /// True if whoever answers now has no end but those that it listed when it answered last.
-    fn is_sure(&self) -> bool {
-        self.sure && !self.has_start_on_way()
+    /// True if whichever process replies now has no ends but those of its last reply.
+    fn is_same_process(&self) -> bool {
+        self.no_failed_calls && !self.has_start_in_flight()
     }
 
-    /// True if a start was made and its answer is awaited.
-    pub fn has_start_on_way(&self) -> bool {
-        self.orders.values().any(Pending::is_on_way)
+    /// True if a start was sent and has no reply yet.
+    pub fn has_start_in_flight(&self) -> bool {
+        self.orders.values().any(Pending::is_start_in_flight)
     }
 
-    /// True if the worker is to be told at the next occasion that ends are recorded.
+    /// True if there are ends to acknowledge. The next poll then asks for an immediate reply.
     pub fn owes_acknowledgement(&self) -> bool {
-        self.seen > self.told && !self.has_start_on_way()
+        self.recorded > self.acknowledged && !self.has_start_in_flight()
     }
 
-    /// Starts that were made and not answered.
+    /// Starts that were sent and got no reply.
     pub fn unanswered(&self) -> Vec<(Task, u64)> {
-        let made = |pending: &&Pending| pending.doubtful || pending.unclear || pending.is_on_way();
-        self.orders.values().filter(made).map(Pending::run).collect()
+        let sent = |pending: &&Pending| {
+            pending.may_take_effect || pending.replaces_start || pending.is_start_in_flight()
+        };
+        self.orders.values().filter(sent).map(Pending::run).collect()
     }
 
-    /// A start was confirmed. Those that are no longer fresh are forgotten.
-    pub fn note_start(&mut self, task: Task, run: u64, fresh: u64, now: u64) {
-        self.fresh.retain(|(_, _, at)| now <= at + fresh);
-        self.fresh.push((task, run, now));
+    /// Records a confirmed start, and drops those older than `window`.
+    pub fn record_start(&mut self, task: Task, run: u64, window: u64, now: u64) {
+        self.recent_starts.retain(|(_, _, at)| now <= at + window);
+        self.recent_starts.push((task, run, now));
     }
 
-    /// The starts that may be why the worker has just broken its connections: `closed` one
-    /// that was open, or else took no new one. One that takes none has not seen the starts
-    /// that are on their way for the first time.
-    pub fn suspects(&self, closed: bool, fresh: u64, now: u64) -> Vec<(Task, u64)> {
-        let confirmed = self.fresh.iter().filter(|(_, _, at)| now <= at + fresh);
+    /// Returns the starts that may be why the worker has just broken its connections: it either
+    /// closed an open one (`closed`) or accepted no new one. In the latter case it has not
+    /// received starts whose first attempt is in flight.
+    pub fn crash_suspects(&self, closed: bool, window: u64, now: u64) -> Vec<(Task, u64)> {
+        let confirmed = self.recent_starts.iter().filter(|(_, _, at)| now <= at + window);
         let confirmed = confirmed.map(|(task, run, _)| (task.clone(), *run));
         let starts = self.orders.values().filter(|pending| pending.is_start());
-        let sent = starts.filter(|pending| pending.doubtful || closed && pending.again.is_none());
+        let sent = starts
+            .filter(|pending| pending.may_take_effect || closed && pending.retry_at.is_none());
         confirmed.chain(sent.map(Pending::run)).collect()
     }
 
-    /// True if the look or order was made to this incarnation, and its answer is awaited.
-    pub fn made(&self, id: u64) -> bool {
-        self.hold.is_some_and(|hold| hold.0 == id) || self.orders.contains_key(&id)
+    /// True if the call is a poll of this incarnation or an order to it, and has no reply yet.
+    pub fn awaits_reply(&self, id: u64) -> bool {
+        self.poll.is_some_and(|poll| poll.0 == id) || self.orders.contains_key(&id)
     }
 
-    /// True if the worker has to be looked at: it is not fenced yet, or runs
-    /// something, or has ends that it does not know to be recorded.
-    pub fn busy(&self, epoch: u64) -> bool {
+    /// True if the worker has to be polled: it is not fenced under this epoch, has runs, has ends
+    /// that are not acknowledged, or may have changed since the last poll.
+    pub fn needs_poll(&self, epoch: u64) -> bool {
         epoch > 0
             && (self.fenced < epoch
                 || !self.running.is_empty()
                 || !self.ended.is_empty()
-                || self.told < self.seen
+                || self.acknowledged < self.recorded
                 || self.changed
-                || !self.stopped.is_empty()
-                || self.orders.values().any(|pending| pending.tries > 0))
+                || !self.stop_reports.is_empty()
+                || self.orders.values().any(|pending| pending.attempts > 0))
     }
 
+    /// Builds a call to this incarnation; `timeout` is in milliseconds.
     pub fn call(&self, fencing_token: u64, action: Action, timeout: u64) -> Call {
         Call {
             address: self.address.clone(),
--- a/crates/runner/src/unanswered.rs
+++ b/crates/runner/src/unanswered.rs
@@ -1,15 +1,15 @@
 use quincewheel_job::Task;
 
-/// A start without an answer may be carried out so long after it was made, in milliseconds:
-/// workers were seen to take up to 12 s.
-const LATE: u64 = 15_000;
+/// How long after it was made a start without a reply may still be carried out. Workers have
+/// taken up to 12 s.
+const MAX_START_DELAY_MS: u64 = 15_000;
 
-/// Starts that got no answer.
+/// Starts that got no reply.
 ///
-/// A worker may carry one out seconds later, and refuses it once it was told to stop that run.
-/// Which runs it was told to stop is among what a worker does not know any more when it starts
-/// again, and a call names it by its id only: a start that was made sure of before would be
-/// carried out by the next incarnation, beside a later run of its task elsewhere.
+/// A worker may carry one out seconds later, unless it was ordered to stop that run before. A
+/// worker that restarts under the same id forgets those stops, and a call names the worker by its
+/// id only. So a start that was settled with a former incarnation could be carried out by the
+/// next one, beside a later run of its task elsewhere.
 #[derive(Debug, Default)]
 pub(crate) struct Unanswered {
     starts: Vec<Start>,
@@ -17,7 +17,7 @@
 
 #[derive(Debug)]
 struct Start {
-    /// The worker's id.
+    /// Id of the worker, which its incarnations may share.
     worker: String,
     task: Task,
     run: u64,
@@ -25,15 +25,16 @@
 }
 
 impl Unanswered {
-    /// A start at a worker of this id got no answer.
-    pub fn note(&mut self, worker: &str, task: Task, run: u64, now: u64) {
-        self.starts.retain(|start| now < start.at + LATE);
+    /// Adds a start at a worker with this id, and drops those that can no longer take effect.
+    pub fn insert(&mut self, worker: &str, task: Task, run: u64, now: u64) {
+        self.starts.retain(|start| now < start.at + MAX_START_DELAY_MS);
         self.starts.push(Start { worker: worker.to_owned(), task, run, at: now });
     }
 
-    /// Starts that a worker of this id may yet carry out, each once.
-    pub fn of(&mut self, worker: &str, now: u64) -> Vec<(Task, u64)> {
-        self.starts.retain(|start| now < start.at + LATE);
+    /// Returns the starts, sorted and without duplicates, that a worker with this id may still
+    /// carry out.
+    pub fn starts_at(&mut self, worker: &str, now: u64) -> Vec<(Task, u64)> {
+        self.starts.retain(|start| now < start.at + MAX_START_DELAY_MS);
         let there = self.starts.iter().filter(|start| start.worker == worker);
         let mut starts: Vec<(Task, u64)> =
             there.map(|start| (start.task.clone(), start.run)).collect();
