--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -83,7 +83,7 @@
     runtime.block_on(async move {
         let settings = bounded(&site.bounds);
         let agent = Rc::new(Agent {
-            runner: RefCell::new(Runner::open(settings)),
+            runner: RefCell::new(Runner::new(settings)),
             hub,
             worker: platform::Caller::open(),
             metrics,
@@ -163,7 +163,7 @@
     };
     let table = Table::open(&site.table, Rc::new(skip));
     let failed = |error: &Error| log::warn!(event = "table"; "{error}");
-    let mut announcement = Announcement::open();
+    let mut announcement = Announcement::unwritten();
     loop {
         let now = quincewheel_clock::boot();
         let incarnations = agent.runner.borrow().incarnation_count();
@@ -228,7 +228,7 @@
 
 /// Carries out what the runner wants.
 fn carry_out(agent: &Rc<Agent>) {
-    let outputs = agent.runner.borrow_mut().outputs();
+    let outputs = agent.runner.borrow_mut().take_outputs();
     for output in outputs {
         match output {
             Output::Send { link, notice } => {
--- a/crates/runner/src/announcement.rs
+++ b/crates/runner/src/announcement.rs
@@ -24,8 +24,8 @@
 const MAX_RETRY_DELAY_MS: u64 = 64_000;
 
 impl Announcement {
-    /// Starts without a written row.
-    pub fn open() -> Announcement {
+    /// Creates the schedule of an agent that has not written its row.
+    pub fn unwritten() -> Announcement {
         Announcement { announced: 0, retry_delay: MIN_RETRY_DELAY_MS, scheduled: None }
     }
 
@@ -41,7 +41,8 @@
     /// the table.
     pub fn next_write(&mut self, runner: &Runner, spread: f64, now: u64) -> Option<u64> {
         if !runner.awaits_owner() {
-            *self = Announcement { announced: runner.incarnation_count(), ..Announcement::open() };
+            *self =
+                Announcement { announced: runner.incarnation_count(), ..Announcement::unwritten() };
             return None;
         }
         if runner.incarnation_count() != self.announced {
--- a/crates/runner/src/incarnations.rs
+++ b/crates/runner/src/incarnations.rs
@@ -77,10 +77,10 @@
         self.lease.clear_worker_clock();
         self.incarnation_count += 1;
         self.departed = None;
-        let mut session = Session::open(worker, address, now);
+        let mut session = Session::new(worker, address, now);
         session.heartbeat = number;
         for (task, run) in self.unanswered.starts_at(&worker.id, now) {
-            session.orders.insert(self.next_call, Pending::open(Action::Stop { task, run }));
+            session.orders.insert(self.next_call, Pending::new(Action::Stop { task, run }));
             self.next_call += 1;
         }
         self.session = Some(session);
--- a/crates/runner/src/orders.rs
+++ b/crates/runner/src/orders.rs
@@ -49,7 +49,7 @@
         let evacuated = self.evacuation.covers(&session.worker.zone);
         let refused = session.worker.draining || evacuated || until.is_none();
         *lease_end = until.unwrap_or(0);
-        let mut pending = Pending { may_take_effect: again, ..Pending::open(action) };
+        let mut pending = Pending { may_take_effect: again, ..Pending::new(action) };
         if refused {
             pending.replace_with_stop(now);
         }
@@ -65,7 +65,7 @@
         };
         // A start that is still being retried must not be sent again after its stop.
         session.orders.retain(|_, pending| !pending.is_start_of(&task, run));
-        session.orders.insert(self.next_call, Pending::open(Action::Stop { task, run }));
+        session.orders.insert(self.next_call, Pending::new(Action::Stop { task, run }));
         self.next_call += 1;
     }
 
--- a/crates/runner/src/pending.rs
+++ b/crates/runner/src/pending.rs
@@ -17,7 +17,7 @@
 
 impl Pending {
     /// Creates an order whose first attempt is due at once.
-    pub fn open(action: Action) -> Pending {
+    pub fn new(action: Action) -> Pending {
         Pending {
             action,
             attempts: 0,
--- a/crates/runner/src/runner.rs
+++ b/crates/runner/src/runner.rs
@@ -71,7 +71,7 @@
 
 impl Runner {
     /// Creates a runner without a worker and an owner.
-    pub fn open(settings: Settings) -> Runner {
+    pub fn new(settings: Settings) -> Runner {
         Runner {
             settings,
             epoch: 0,
@@ -99,7 +99,7 @@
     }
 
     /// Returns the effects to carry out, in order, and clears the list.
-    pub fn outputs(&mut self) -> Vec<Output> {
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
--- a/crates/runner/src/session.rs
+++ b/crates/runner/src/session.rs
@@ -52,7 +52,7 @@
 }
 
 impl Session {
-    pub fn open(worker: &Worker, address: &str, now: u64) -> Session {
+    pub fn new(worker: &Worker, address: &str, now: u64) -> Session {
         Session {
             worker: worker.clone(),
             address: address.to_owned(),
--- a/crates/runner/tests/alone.rs
+++ b/crates/runner/tests/alone.rs
@@ -13,7 +13,7 @@
 // owner closes one that has been silent for 2.5 s, and an agent has nothing of the kind.
 #[test]
 fn an_agent_that_hears_nothing_from_its_owner_is_alone() {
-    let mut runner = Runner::open(Settings::default());
+    let mut runner = Runner::new(Settings::default());
     let worker = Worker { id: "i1".into(), pool: "p".into(), ..Worker::default() };
     runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 50_000), 1000);
     runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
@@ -23,7 +23,7 @@
             runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 49_000 + now), now);
         }
         runner.tick(now);
-        for output in runner.outputs() {
+        for output in runner.take_outputs() {
             match output {
                 // The owner answers each ping until the cut.
                 Output::Send { link, .. } if now < 5000 => {
--- a/crates/runner/tests/announcement.rs
+++ b/crates/runner/tests/announcement.rs
@@ -16,8 +16,8 @@
 
 impl Bed {
     fn open() -> Bed {
-        let runner = Runner::open(Settings::default());
-        let announcement = Announcement::open();
+        let runner = Runner::new(Settings::default());
+        let announcement = Announcement::unwritten();
         let (now, calls, written) = (1000, Vec::new(), Vec::new());
         let mut bed = Bed { runner, announcement, now, calls, written };
         bed.report("i1");
@@ -51,7 +51,7 @@
     }
 
     fn drain(&mut self) {
-        for output in self.runner.outputs() {
+        for output in self.runner.take_outputs() {
             if let Output::Call { id, call } = output
                 && matches!(call.action, Action::Hold { .. })
             {
--- a/crates/runner/tests/broke.rs
+++ b/crates/runner/tests/broke.rs
@@ -19,7 +19,7 @@
 
 impl Bed {
     fn open() -> Bed {
-        let runner = Runner::open(Settings::default());
+        let runner = Runner::new(Settings::default());
         let mut bed = Bed { runner, now: 1000, look: 0, start: 0, told: Vec::new(), fenced: false };
         bed.report("i1");
         bed.runner.on_order(1, Order::Claim { epoch: 1 }, bed.now);
@@ -75,7 +75,7 @@
     }
 
     fn drain(&mut self) {
-        for output in self.runner.outputs() {
+        for output in self.runner.take_outputs() {
             match output {
                 Output::Call { id, call } => match call.action {
                     Action::Hold { .. } => self.look = id,
--- a/crates/runner/tests/capacity.rs
+++ b/crates/runner/tests/capacity.rs
@@ -11,7 +11,7 @@
 
 /// The accelerators that the owner is told of.
 fn told(runner: &mut Runner) -> Vec<u64> {
-    let outputs = runner.outputs().into_iter();
+    let outputs = runner.take_outputs().into_iter();
     let told = outputs.filter_map(|output| match output {
         Output::Send { notice: Notice::Status { worker: Some(worker), .. }, .. } => {
             Some(worker.capacity.accelerators)
@@ -27,10 +27,10 @@
 // at.
 #[test]
 fn a_change_of_an_idle_workers_capacity_is_told_at_once() {
-    let mut runner = Runner::open(Settings::default());
+    let mut runner = Runner::new(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker(8), "10.0.0.1:80", 50_000), 1000);
     runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
-    runner.outputs();
+    runner.take_outputs();
     runner.on_heartbeat(&heartbeat(&worker(3), "10.0.0.1:80", 51_500), 2500);
     let shrunk = told(&mut runner);
     runner.on_heartbeat(&heartbeat(&worker(3), "10.0.0.1:80", 53_000), 4000);
--- a/crates/runner/tests/lives.rs
+++ b/crates/runner/tests/lives.rs
@@ -14,13 +14,13 @@
 // and the owner takes the runs of the later life for lost.
 #[test]
 fn a_late_report_of_a_former_life_does_not_replace_the_later_one() {
-    let mut runner = Runner::open(Settings::default());
+    let mut runner = Runner::new(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
     runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
     runner.on_order(1, Order::Grant { stamp: 1000 }, 1000);
     runner.on_heartbeat(&heartbeat(&worker("i2"), "10.0.0.1:80", 100), 1500);
     let task = Task { job: "j".into(), occurrence: 0, step: 0, index: 0 };
-    for output in runner.outputs() {
+    for output in runner.take_outputs() {
         if let Output::Call { id, call } = output
             && call.worker == "i2"
             && matches!(call.action, Action::Hold { .. })
@@ -30,7 +30,7 @@
             runner.on_reply(id, Ok(held), 1510);
         }
     }
-    runner.outputs();
+    runner.take_outputs();
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_900), 1600);
     let told: Vec<String> = runner
         .outputs()
@@ -50,13 +50,13 @@
 // is there is taken over; but a life stays in its pool.
 #[test]
 fn a_report_that_names_another_pool_does_not_change_the_worker() {
-    let mut runner = Runner::open(Settings::default());
+    let mut runner = Runner::new(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
     runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
-    runner.outputs();
+    runner.take_outputs();
     let foreign = Worker { pool: "q".into(), draining: true, ..worker("i1") };
     runner.on_heartbeat(&heartbeat(&foreign, "10.0.0.2:80", 50_100), 1100);
-    let sent = runner.outputs().into_iter().filter(|out| matches!(out, Output::Send { .. }));
+    let sent = runner.take_outputs().into_iter().filter(|out| matches!(out, Output::Send { .. }));
     assert_eq!(sent.count(), 0);
 }
 
@@ -64,12 +64,12 @@
 // health check, would be made for each otherwise.
 #[test]
 fn a_late_report_of_a_life_that_is_over_costs_no_look() {
-    let mut runner = Runner::open(Settings::default());
+    let mut runner = Runner::new(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
     runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
     runner.on_leave(&"i1".into(), 1200);
     runner.on_heartbeat(&heartbeat(&worker("i2"), "10.0.0.1:80", 100), 1500);
-    for output in runner.outputs() {
+    for output in runner.take_outputs() {
         if let Output::Call { id, call } = output
             && call.worker == "i2"
         {
@@ -77,9 +77,9 @@
             runner.on_reply(id, Ok(held), 1510);
         }
     }
-    runner.outputs();
+    runner.take_outputs();
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_900), 1600);
-    let calls = runner.outputs().into_iter().filter(|out| matches!(out, Output::Call { .. }));
+    let calls = runner.take_outputs().into_iter().filter(|out| matches!(out, Output::Call { .. }));
     assert_eq!(calls.count(), 0);
 }
 
--- a/crates/runner/tests/restarts.rs
+++ b/crates/runner/tests/restarts.rs
@@ -319,7 +319,7 @@
 impl Bed {
     /// A runner that follows an owner and knows a worker, started at `born`.
     fn open(born: u64) -> Bed {
-        let runner = Runner::open(Settings::default());
+        let runner = Runner::new(Settings::default());
         let mut bed = Bed { runner, now: 1000, calls: Vec::new(), told: Vec::new() };
         bed.report(born, false);
         bed.runner.on_order(1, Order::Claim { epoch: 1 }, bed.now);
@@ -415,7 +415,7 @@
     }
 
     fn drain(&mut self) {
-        for output in self.runner.outputs() {
+        for output in self.runner.take_outputs() {
             match output {
                 Output::Call { id, call } => self.calls.push((id, call.action)),
                 Output::Send { notice, .. } => self.told.extend(line(&notice)),
--- a/crates/runner/tests/starts.rs
+++ b/crates/runner/tests/starts.rs
@@ -15,7 +15,7 @@
 impl Bed {
     /// A runner whose worker reported itself and whose owner has epoch 3.
     fn open() -> Bed {
-        let runner = Runner::open(Settings::default());
+        let runner = Runner::new(Settings::default());
         let mut bed = Bed { runner, now: 1000, calls: Vec::new(), lines: Vec::new() };
         bed.runner.on_heartbeat(&heartbeat(&worker(false), "10.0.0.1:80", 50_000), bed.now);
         bed.order(Order::Claim { epoch: 3 });
@@ -38,7 +38,7 @@
     }
 
     fn drain(&mut self) {
-        for output in self.runner.outputs() {
+        for output in self.runner.take_outputs() {
             match output {
                 Output::Call { id, call } => {
                     self.lines.push(called(&call));
--- a/crates/runner/tests/world/mod.rs
+++ b/crates/runner/tests/world/mod.rs
@@ -188,7 +188,7 @@
 
     /// An agent's process ends and starts anew; its worker runs on, and reports.
     pub fn restart(&mut self, number: usize) {
-        self.sides[number].runner = Runner::open(Settings::default());
+        self.sides[number].runner = Runner::new(Settings::default());
         self.sides[number].calls.clear();
         self.owner.unlinked(number as u64);
         self.report(number);
@@ -274,7 +274,7 @@
     fn serve(&mut self, number: usize) -> bool {
         let now = self.now;
         let side = &mut self.sides[number];
-        let outputs = side.runner.outputs();
+        let outputs = side.runner.take_outputs();
         let mut busy = !outputs.is_empty();
         for output in outputs {
             match output {
--- a/crates/runner/tests/world/side.rs
+++ b/crates/runner/tests/world/side.rs
@@ -67,7 +67,7 @@
             born: 0,
             fence: 0,
             behind: 0,
-            runner: Runner::open(Settings::default()),
+            runner: Runner::new(Settings::default()),
             running: Vec::new(),
             ends: 0,
             listed: Vec::new(),
