--- a/crates/runner/tests/lives.rs
+++ b/crates/runner/tests/lives.rs
@@ -33,7 +33,7 @@
     runner.take_outputs();
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_900), 1600);
     let told: Vec<String> = runner
-        .outputs()
+        .take_outputs()
         .into_iter()
         .filter_map(|output| match output {
             Output::Send { notice: Notice::Status { worker: Some(worker), .. }, .. } => {
