--- a/crates/runner/src/crashes.rs
+++ b/crates/runner/src/crashes.rs
@@ -18,7 +18,7 @@
     /// true for the first break, if it closed an open connection.
     pub(crate) fn on_connection_broken(&mut self, id: u64, closed: bool, now: u64) -> bool {
         let window = self.settings.crash_window;
-        // A failed call to a former incarnation tells nothing about this one.
+        // A failed call to a former incarnation shows nothing about this one.
         let awaits = |session: &&mut Session| session.awaits_reply(id);
         let Some(session) = self.session.as_mut().filter(awaits) else { return false };
         let mut starts = session.crash_suspects(closed, window, now);
--- a/crates/runner/tests/announcement.rs
+++ b/crates/runner/tests/announcement.rs
@@ -1,56 +1,58 @@
-//! When an agent writes where it is.
+//! When an agent writes its row.
 
 use insta::assert_snapshot;
 use quincewheel_job::Worker;
 use quincewheel_runner::{Action, Announcement, Call, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Order, Refused};
 
-/// An agent whose worker runs under an owner.
-struct Bed {
+/// An agent with a worker, and an owner that is connected.
+struct Harness {
     runner: Runner,
     announcement: Announcement,
     now: u64,
+    /// Polls without a reply, by their ids.
     calls: Vec<(u64, Call)>,
+    /// When the row was written.
     written: Vec<String>,
 }
 
-impl Bed {
-    fn open() -> Bed {
+impl Harness {
+    fn new() -> Harness {
         let runner = Runner::new(Settings::default());
         let announcement = Announcement::unwritten();
         let (now, calls, written) = (1000, Vec::new(), Vec::new());
-        let mut bed = Bed { runner, announcement, now, calls, written };
-        bed.report("i1");
-        bed.runner.on_order(1, Order::Claim { epoch: 1 }, bed.now);
-        bed.drain();
-        bed.answer(Ok(Reply::Held {
+        let mut harness = Harness { runner, announcement, now, calls, written };
+        harness.send_heartbeat("i1");
+        harness.runner.on_order(1, Order::Claim { epoch: 1 }, harness.now);
+        harness.collect_outputs();
+        harness.reply_to_poll(Ok(Reply::Held {
             born: 0,
             clock: 51_000,
             running: Vec::new(),
             ended: Vec::new(),
         }));
-        bed.written.clear();
-        bed
+        harness.written.clear();
+        harness
     }
 
-    fn report(&mut self, id: &str) {
+    fn send_heartbeat(&mut self, id: &str) {
         let worker = Worker { id: id.into(), pool: "p".into(), ..Worker::default() };
         self.runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 50_000 + self.now), self.now);
-        self.drain();
+        self.collect_outputs();
     }
 
-    fn answer(&mut self, answer: Result<Reply, quincewheel_runner::Fault>) {
+    fn reply_to_poll(&mut self, reply: Result<Reply, quincewheel_runner::Fault>) {
         let Some((id, _)) = self.calls.pop() else { return };
-        self.runner.on_reply(id, answer, self.now);
-        self.drain();
+        self.runner.on_reply(id, reply, self.now);
+        self.collect_outputs();
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += ms;
-        self.drain();
+        self.collect_outputs();
     }
 
-    fn drain(&mut self) {
+    fn collect_outputs(&mut self) {
         for output in self.runner.take_outputs() {
             if let Output::Call { id, call } = output
                 && matches!(call.action, Action::Hold { .. })
@@ -58,59 +60,59 @@
                 self.calls.push((id, call));
             }
         }
-        let (lives, due) = (
+        let (incarnations, due) = (
             self.runner.incarnation_count(),
             self.announcement.next_write(&self.runner, 1.0, self.now),
         );
         if due.is_some_and(|at| at <= self.now) {
             self.written.push(format!("{} ms", self.now - 1000));
-            self.announcement.on_written(lives);
+            self.announcement.on_written(incarnations);
         }
     }
 }
 
-// Symptom: after a crash a worker is back and stands idle for 2 to 4 s. Sequence: its owner has
-// learned that it is gone, dropped its agent's row and closed the connection; the next life
-// reports itself; that it is no late report is known only a look later. Cause: the report alone
-// was looked at, and no life was new then: the agent waited as long as one whose owner is away.
+// After a crash the owner deletes the agent's row and closes the connection. The next incarnation
+// sends a heartbeat, but only a later poll shows that the heartbeat is not stale. The row must be
+// written then, without the delay of an agent whose owner is away; otherwise the worker stays idle
+// for 2 to 4 s.
 #[test]
-fn a_new_life_is_announced_as_soon_as_it_is_known() {
-    let mut bed = Bed::open();
-    bed.runner.on_disconnect(1);
-    bed.pass(3000);
-    bed.report("i2");
-    bed.pass(5);
-    bed.answer(Ok(Reply::Refused(Refused::Leaving)));
-    assert_snapshot!(bed.written.join(", "), @"3005 ms");
+fn a_new_incarnation_is_announced_as_soon_as_it_is_verified() {
+    let mut harness = Harness::new();
+    harness.runner.on_disconnect(1);
+    harness.advance(3000);
+    harness.send_heartbeat("i2");
+    harness.advance(5);
+    harness.reply_to_poll(Ok(Reply::Refused(Refused::Leaving)));
+    assert_snapshot!(harness.written.join(", "), @"3005 ms");
 }
 
-// While nobody answers, the row is written again ever more seldom.
+// While no owner connects, the delay between writes of the row doubles.
 #[test]
-fn an_agent_that_stays_alone_writes_its_row_again() {
-    let mut bed = Bed::open();
-    bed.runner.on_disconnect(1);
+fn an_agent_without_an_owner_writes_its_row_with_backoff() {
+    let mut harness = Harness::new();
+    harness.runner.on_disconnect(1);
     for second in 0..80 {
-        bed.pass(1000);
+        harness.advance(1000);
         if second % 2 == 0 {
-            bed.report("i1");
+            harness.send_heartbeat("i1");
         }
     }
-    assert_snapshot!(bed.written.join(", "), @"5000 ms, 13000 ms, 29000 ms, 61000 ms");
+    assert_snapshot!(harness.written.join(", "), @"5000 ms, 13000 ms, 29000 ms, 61000 ms");
 }
 
-// Symptom: a new owner waits for a worker that is gone. Sequence: a worker and the connection to its
-// owner are lost at one time. An agent whose worker reports nothing does not announce itself.
+// A worker and the connection to its owner are lost at the same time. If the agent announced
+// itself without heartbeats of its worker, a new owner would wait for that worker.
 #[test]
-fn a_worker_that_reports_no_more_is_not_announced() {
-    let mut bed = Bed::open();
-    bed.runner.on_disconnect(1);
+fn a_worker_without_heartbeats_is_not_announced() {
+    let mut harness = Harness::new();
+    harness.runner.on_disconnect(1);
     for _ in 0..80 {
-        bed.pass(1000);
+        harness.advance(1000);
     }
-    assert_snapshot!(bed.written.join(", "), @"");
+    assert_snapshot!(harness.written.join(", "), @"");
 }
 
-/// A report, numbered by the worker's clock.
+/// A heartbeat whose sequence number is the worker's clock.
 fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
     Heartbeat { worker, address, clock, number: clock }
 }
--- /dev/null
+++ b/crates/runner/tests/broken_connections.rs
@@ -0,0 +1,297 @@
+//! Reports of workers that break their connections.
+
+use insta::assert_snapshot;
+use quincewheel_job::{Run, Task, Worker};
+use quincewheel_runner::{Action, Fault, Heartbeat, Output, Reply, Runner, Settings};
+use quincewheel_wire::{Notice, Order, Refused, list_starts};
+
+/// An agent whose worker is fenced and idle.
+struct Harness {
+    runner: Runner,
+    now: u64,
+    /// Call ids of the last poll and the last start.
+    poll: u64,
+    start: u64,
+    /// Reports of broken connections.
+    breaks: Vec<String>,
+    /// The last status reported the worker as fenced.
+    fenced: bool,
+}
+
+impl Harness {
+    fn new() -> Harness {
+        let runner = Runner::new(Settings::default());
+        let mut harness =
+            Harness { runner, now: 1000, poll: 0, start: 0, breaks: Vec::new(), fenced: false };
+        harness.send_heartbeat("i1");
+        harness.runner.on_order(1, Order::Claim { epoch: 1 }, harness.now);
+        harness.runner.on_order(1, Order::Grant { stamp: harness.now }, harness.now);
+        harness.collect_outputs();
+        harness.reply_to_poll(&[]);
+        harness.breaks.clear();
+        harness
+    }
+
+    fn send_heartbeat(&mut self, id: &str) {
+        let worker = Worker { id: id.into(), pool: "p".into(), ..Worker::default() };
+        self.runner.on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 50_000 + self.now), self.now);
+        self.collect_outputs();
+    }
+
+    fn order_start(&mut self, index: u32) {
+        let (spec, saved, ticket) = (String::new(), String::new(), String::new());
+        let (worker, task) = ("i1".into(), task(index));
+        let start = Order::Start { worker, task, run: 1, spec, saved, ticket, again: false };
+        self.runner.on_order(1, start, self.now);
+        self.collect_outputs();
+    }
+
+    /// Confirms the last start.
+    fn confirm_start(&mut self) {
+        self.reply(self.start, Ok(Reply::Done { clock: 50_000 + self.now }));
+    }
+
+    /// Replies to the last poll.
+    fn reply_to_poll(&mut self, running: &[u32]) {
+        let run = |&index: &u32| Run {
+            task: task(index),
+            number: 1,
+            saved: String::new(),
+            percent: 1,
+            gauge: 0,
+        };
+        let running = running.iter().map(run).collect();
+        let held = Reply::Held { born: 0, clock: 50_000 + self.now, running, ended: Vec::new() };
+        self.reply(self.poll, Ok(held));
+    }
+
+    fn reply(&mut self, id: u64, reply: Result<Reply, Fault>) {
+        self.runner.on_reply(id, reply, self.now);
+        self.collect_outputs();
+    }
+
+    fn advance(&mut self, ms: u64) {
+        self.now += ms;
+        self.runner.tick(self.now);
+        self.collect_outputs();
+    }
+
+    fn collect_outputs(&mut self) {
+        for output in self.runner.take_outputs() {
+            match output {
+                Output::Call { id, call } => match call.action {
+                    Action::Hold { .. } => self.poll = id,
+                    Action::Start { .. } => self.start = id,
+                    _ => {}
+                },
+                Output::Send { notice: Notice::Broke { worker, starts }, .. } => {
+                    self.breaks.push(format!("{worker} broke: {}", list_starts(&starts)));
+                }
+                Output::Send { notice: Notice::Status { fenced, .. }, .. } => self.fenced = fenced,
+                Output::Send { .. } | Output::Close { .. } => {}
+            }
+        }
+    }
+}
+
+fn task(index: u32) -> Task {
+    Task { job: "j".into(), occurrence: 0, step: 0, index }
+}
+
+fn closed() -> Result<Reply, Fault> {
+    Err(Fault::Unclear { closed: true, detail: "closed".into() })
+}
+
+fn refused() -> Result<Reply, Fault> {
+    Err(Fault::Unsent { detail: "refused".into() })
+}
+
+// A task has run for a while, another one starts, and 10 ms later the worker's process ends. The
+// log must show that the worker crashed just after the second start.
+#[test]
+fn only_recent_starts_are_suspects() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.confirm_start();
+    harness.advance(300);
+    harness.reply_to_poll(&[0]);
+    harness.order_start(1);
+    harness.confirm_start();
+    harness.advance(10);
+    harness.reply(harness.poll, closed());
+    harness.advance(300);
+    harness.reply(harness.poll, refused());
+    assert_snapshot!(harness.breaks.join("\n"), @"i1 broke: j.0.0.1 run 1");
+}
+
+// A task crashes its worker 10 ms after its start, and the agent on a busy machine detects it 240
+// ms later. With a window of 150 ms the start was no suspect, and the task was started five times
+// after three crashes.
+#[test]
+fn a_start_is_a_suspect_although_the_crash_is_detected_late() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.confirm_start();
+    harness.advance(240);
+    harness.reply(harness.poll, closed());
+    assert_snapshot!(harness.breaks.join("\n"), @"i1 broke: j.0.0.0 run 1");
+}
+
+// A worker that crashes without a recent start was not crashed by a task.
+#[test]
+fn a_start_that_the_worker_has_survived_is_no_suspect() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.confirm_start();
+    harness.advance(300);
+    harness.reply_to_poll(&[0]);
+    harness.reply(harness.poll, closed());
+    assert_snapshot!(harness.breaks.join("\n"), @"i1 broke: no start");
+}
+
+// A worker may crash before it replies to the start.
+#[test]
+fn a_start_without_a_reply_is_a_suspect() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.reply(harness.start, closed());
+    assert_snapshot!(harness.breaks.join("\n"), @"i1 broke: j.0.0.0 run 1");
+}
+
+// A start that could not be sent cannot have crashed the worker.
+#[test]
+fn an_unsent_start_is_no_suspect() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.order_start(1);
+    harness.reply(harness.start, refused());
+    assert_snapshot!(harness.breaks.join("\n"), @"i1 broke: no start");
+}
+
+// A timeout shows neither whether the worker's process has ended nor when.
+#[test]
+fn a_timeout_is_no_broken_connection() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.confirm_start();
+    harness.reply(harness.poll, Err(Fault::Unclear { closed: false, detail: "nothing".into() }));
+    assert_snapshot!(harness.breaks.join("\n"), @"");
+}
+
+// A new owner may take over between a crash and its consequences.
+#[test]
+fn a_new_owner_receives_a_break_until_the_worker_replies() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.confirm_start();
+    harness.reply(harness.poll, closed());
+    harness.runner.on_order(2, Order::Claim { epoch: 2 }, harness.now);
+    harness.collect_outputs();
+    harness.advance(300);
+    harness.reply_to_poll(&[0]);
+    harness.runner.on_order(3, Order::Claim { epoch: 3 }, harness.now);
+    harness.collect_outputs();
+    assert_snapshot!(harness.breaks.join("\n"), @r"
+    i1 broke: j.0.0.0 run 1
+    i1 broke: j.0.0.0 run 1
+    ");
+}
+
+// The worker closes its connection, and before the next poll a heartbeat says that it drains, so
+// the agent sends a status. If that status relied on the last reply before the crash, the owner
+// would not count the crash.
+#[test]
+fn a_worker_that_broke_its_connections_is_not_reported_as_fenced() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.confirm_start();
+    harness.reply(harness.poll, closed());
+    let worker = Worker { id: "i1".into(), pool: "p".into(), draining: true, ..Worker::default() };
+    harness
+        .runner
+        .on_heartbeat(&heartbeat(&worker, "10.0.0.1:80", 51_000 + harness.now), harness.now);
+    harness.collect_outputs();
+    let before = harness.fenced;
+    harness.advance(300);
+    harness.reply_to_poll(&[0]);
+    assert_eq!((before, harness.fenced), (false, true));
+}
+
+// A failed call to an ended incarnation shows nothing about the next one.
+#[test]
+fn a_failed_call_to_a_former_incarnation_does_not_count_for_the_next() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.confirm_start();
+    let (poll, start) = (harness.poll, harness.start);
+    harness.runner.on_leave(&"i1".into(), harness.now);
+    harness.send_heartbeat("i2");
+    harness.reply(poll, closed());
+    harness.reply(start, closed());
+    assert_snapshot!(harness.breaks.join("\n"), @"");
+}
+
+// A worker crashes while its agent has no connection to an owner, and its next incarnation is
+// known before there is one. If the crash were forgotten with its incarnation, a task could crash
+// one more worker under each owner.
+#[test]
+fn an_owner_that_connects_later_receives_recent_crashes() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.confirm_start();
+    harness.runner.on_disconnect(1);
+    harness.reply(harness.poll, closed());
+    harness.advance(300);
+    harness.reply(harness.poll, Ok(Reply::Refused(Refused::Leaving)));
+    harness.send_heartbeat("i2");
+    harness.runner.on_order(2, Order::Claim { epoch: 2 }, harness.now);
+    harness.collect_outputs();
+    let at_once = std::mem::take(&mut harness.breaks).join("\n");
+    harness.advance(12_000);
+    harness.runner.on_order(3, Order::Claim { epoch: 3 }, harness.now);
+    harness.collect_outputs();
+    assert_snapshot!(format!("{at_once}\n-- 12 s later\n{}", harness.breaks.join("\n")), @r"
+    i1 broke: j.0.0.0 run 1
+    -- 12 s later
+    ");
+}
+
+// The connection of a poll breaks. If the next poll waited for the delay that follows a timeout,
+// the runs of a crashed worker would start elsewhere 0.4 s later.
+#[test]
+fn a_worker_that_broke_its_connections_is_polled_again_at_once() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.confirm_start();
+    let first = harness.poll;
+    harness.reply(first, closed());
+    let second = harness.poll;
+    harness.reply(second, closed());
+    assert_eq!((second > first, harness.poll == second), (true, true));
+}
+
+// A connection to a healthy worker is reset, and a start that is ordered before the worker replies
+// to a poll crashes it. The second break must be reported too, or a task that crashes its workers
+// is started too often.
+#[test]
+fn a_start_that_crashes_a_worker_just_after_a_broken_connection_is_a_suspect() {
+    let mut harness = Harness::new();
+    harness.order_start(0);
+    harness.confirm_start();
+    harness.advance(300);
+    harness.reply_to_poll(&[0]);
+    harness.reply(harness.poll, closed());
+    harness.order_start(1);
+    harness.confirm_start();
+    harness.advance(10);
+    harness.reply(harness.poll, closed());
+    assert_snapshot!(harness.breaks.join("\n"), @r"
+    i1 broke: no start
+    i1 broke: j.0.0.1 run 1
+    ");
+}
+
+/// A heartbeat whose sequence number is the worker's clock.
+fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
+    Heartbeat { worker, address, clock, number: clock }
+}
--- a/crates/runner/tests/lives.rs
+++ b/crates/runner/tests/stale_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Reports that come late.
+//! Heartbeats that arrive late.
 
 use quincewheel_job::{Run, Task, Worker};
 use quincewheel_runner::{Action, Heartbeat, Output, Reply, Runner, Settings};
@@ -8,12 +8,12 @@
     Worker { id: id.into(), pool: "p".into(), ..Worker::default() }
 }
 
-// Symptom: a task runs on two workers. Sequence: a worker crashes; its next life reports at
-// the same machine and starts work; a report of the former life, which a cut or a frozen
-// agent held up, comes last. Cause: the agent takes whoever reported last for the worker,
-// and the owner takes the runs of the later life for lost.
+// A worker crashes, its next incarnation starts work, and then a heartbeat of the former one
+// arrives that a network partition or a suspended agent delayed. If it replaced the later
+// incarnation, the owner would take that one's runs for lost and start their tasks on a second
+// worker.
 #[test]
-fn a_late_report_of_a_former_life_does_not_replace_the_later_one() {
+fn a_stale_heartbeat_of_a_former_incarnation_does_not_replace_the_later_one() {
     let mut runner = Runner::new(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
     runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
@@ -32,7 +32,7 @@
     }
     runner.take_outputs();
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_900), 1600);
-    let told: Vec<String> = runner
+    let reported: Vec<String> = runner
         .take_outputs()
         .into_iter()
         .filter_map(|output| match output {
@@ -42,14 +42,16 @@
             _ => None,
         })
         .collect();
-    assert!(!told.contains(&"i1".to_owned()), "the worker is told to be {told:?}");
+    assert!(
+        !reported.contains(&"i1".to_owned()),
+        "reported as the current incarnations: {reported:?}"
+    );
 }
 
-// Symptom: a worker that is well takes no more work, or that of another pool. Sequence: a
-// report under its id names another service. Cause: whatever a report says of the life that
-// is there is taken over; but a life stays in its pool.
+// A heartbeat with the worker's id names another pool. An incarnation stays in its pool; if the
+// heartbeat were accepted, a healthy worker would get no more work, or that of another pool.
 #[test]
-fn a_report_that_names_another_pool_does_not_change_the_worker() {
+fn a_heartbeat_that_names_another_pool_does_not_change_the_worker() {
     let mut runner = Runner::new(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
     runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
@@ -60,10 +62,10 @@
     assert_eq!(sent.count(), 0);
 }
 
-// A report that a cut held up is known for what it is: a look at the worker, which is charged as a
-// health check, would be made for each otherwise.
+// A heartbeat of an incarnation that is known to have ended must not cause a poll, since each is
+// charged as a health check.
 #[test]
-fn a_late_report_of_a_life_that_is_over_costs_no_look() {
+fn a_stale_heartbeat_of_an_ended_incarnation_causes_no_poll() {
     let mut runner = Runner::new(Settings::default());
     runner.on_heartbeat(&heartbeat(&worker("i1"), "10.0.0.1:80", 50_000), 1000);
     runner.on_order(1, Order::Claim { epoch: 1 }, 1000);
@@ -83,7 +85,7 @@
     assert_eq!(calls.count(), 0);
 }
 
-/// A report, numbered by the worker's clock.
+/// A heartbeat whose sequence number is the worker's clock.
 fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
     Heartbeat { worker, address, clock, number: clock }
 }
--- a/crates/runner/tests/starts.rs
+++ b/crates/runner/tests/starts.rs
@@ -1,33 +1,36 @@
-//! Starts that get no answer, come twice or come too late.
+//! Starts that get no reply, are repeated, or arrive late.
 
 use insta::assert_snapshot;
 use quincewheel_job::{End, Evacuation, How, Need, Run, Task, Worker};
 use quincewheel_runner::{Action, Call, Fault, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Notice, Order, Refused};
 
-struct Bed {
+/// A runner with a worker and an owner.
+struct Harness {
     runner: Runner,
     now: u64,
+    /// Calls without a reply, by their ids.
     calls: Vec<(u64, Call)>,
+    /// Calls and notices of the runner, one line each.
     lines: Vec<String>,
 }
 
-impl Bed {
-    /// A runner whose worker reported itself and whose owner has epoch 3.
-    fn open() -> Bed {
+impl Harness {
+    /// Creates a runner with an idle worker and an owner of epoch 3.
+    fn new() -> Harness {
         let runner = Runner::new(Settings::default());
-        let mut bed = Bed { runner, now: 1000, calls: Vec::new(), lines: Vec::new() };
-        bed.runner.on_heartbeat(&heartbeat(&worker(false), "10.0.0.1:80", 50_000), bed.now);
-        bed.order(Order::Claim { epoch: 3 });
-        bed.order(Order::Grant { stamp: 1000 });
-        bed.held(&[], &[]);
-        bed.told();
-        bed
+        let mut harness = Harness { runner, now: 1000, calls: Vec::new(), lines: Vec::new() };
+        harness.runner.on_heartbeat(&heartbeat(&worker(false), "10.0.0.1:80", 50_000), harness.now);
+        harness.order(Order::Claim { epoch: 3 });
+        harness.order(Order::Grant { stamp: 1000 });
+        harness.reply_to_poll(&[], &[]);
+        harness.take_lines();
+        harness
     }
 
     fn order(&mut self, order: Order) {
         self.runner.on_order(1, order, self.now);
-        self.drain();
+        self.collect_outputs();
     }
 
     fn start(&mut self, run: u64) {
@@ -37,47 +40,47 @@
         self.order(Order::Start { worker, task: task(), run, spec, saved, ticket, again });
     }
 
-    fn drain(&mut self) {
+    fn collect_outputs(&mut self) {
         for output in self.runner.take_outputs() {
             match output {
                 Output::Call { id, call } => {
-                    self.lines.push(called(&call));
+                    self.lines.push(call_line(&call));
                     self.calls.push((id, call));
                 }
                 Output::Send { notice: Notice::Ping { .. }, .. } => {}
-                Output::Send { notice, .. } => self.lines.push(said(&notice)),
+                Output::Send { notice, .. } => self.lines.push(notice_line(&notice)),
                 Output::Close { link } => self.lines.push(format!("close {link}")),
             }
         }
     }
 
-    /// Answers the oldest call that is not a look.
-    fn answer(&mut self, answer: Result<Reply, Fault>) {
-        let held = |call: &Call| matches!(call.action, Action::Hold { .. });
-        let place = self.calls.iter().position(|(_, call)| !held(call)).expect("a call");
+    /// Replies to the oldest call that is not a poll.
+    fn reply(&mut self, reply: Result<Reply, Fault>) {
+        let is_poll = |call: &Call| matches!(call.action, Action::Hold { .. });
+        let place = self.calls.iter().position(|(_, call)| !is_poll(call)).expect("a call");
         let (id, _) = self.calls.remove(place);
-        self.runner.on_reply(id, answer, self.now);
-        self.drain();
+        self.runner.on_reply(id, reply, self.now);
+        self.collect_outputs();
     }
 
-    /// Answers the look that is under way.
-    fn held(&mut self, running: &[Run], ended: &[End]) {
-        let held = |call: &Call| matches!(call.action, Action::Hold { .. });
-        let place = self.calls.iter().rposition(|(_, call)| held(call)).expect("a look");
+    /// Replies to the newest poll.
+    fn reply_to_poll(&mut self, running: &[Run], ended: &[End]) {
+        let is_poll = |call: &Call| matches!(call.action, Action::Hold { .. });
+        let place = self.calls.iter().rposition(|(_, call)| is_poll(call)).expect("a poll");
         let (id, _) = self.calls.remove(place);
         let clock = 50_000 + self.now;
         let (running, ended) = (running.to_vec(), ended.to_vec());
         self.runner.on_reply(id, Ok(Reply::Held { born: 0, clock, running, ended }), self.now);
-        self.drain();
+        self.collect_outputs();
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += ms;
         self.runner.tick(self.now);
-        self.drain();
+        self.collect_outputs();
     }
 
-    fn told(&mut self) -> String {
+    fn take_lines(&mut self) -> String {
         let lines = std::mem::take(&mut self.lines);
         if lines.is_empty() { "nothing".to_owned() } else { lines.join("\n") }
     }
@@ -100,7 +103,7 @@
     End { number: 1, task: task(), run, how: How::Done, saved: String::new() }
 }
 
-fn called(call: &Call) -> String {
+fn call_line(call: &Call) -> String {
     match &call.action {
         Action::Pace { task, run, percent } => format!("> pace {task} run {run} at {percent}"),
         Action::Start { task, run, lease_end, .. } => {
@@ -108,12 +111,12 @@
         }
         Action::Stop { task, run } => format!("> stop {task} run {run}"),
         Action::Hold { acknowledged, wait, .. } => {
-            format!("> hold seen {acknowledged} wait {wait}")
+            format!("> poll acknowledging {acknowledged} wait {wait}")
         }
     }
 }
 
-fn said(notice: &Notice) -> String {
+fn notice_line(notice: &Notice) -> String {
     match notice {
         Notice::Status { fenced, running, ended, .. } => {
             format!("status fenced {fenced} running {} ended {}", running.len(), ended.len())
@@ -125,7 +128,7 @@
     }
 }
 
-fn silence() -> Result<Reply, Fault> {
+fn timeout() -> Result<Reply, Fault> {
     Err(Fault::Unclear { closed: false, detail: "nothing".into() })
 }
 
@@ -133,98 +136,95 @@
     Ok(Reply::Done { clock: 52_000 })
 }
 
-// Symptom: a task runs on two workers. Sequence: a start gets no answer, is given
-// up, and the worker carries it out seconds later. Cause: the owner was told
-// "not started" though nobody had made sure.
+// A start gets no reply, and the worker carries it out seconds later. If it were reported as not
+// started without a stop before, the task would run on two workers.
 #[test]
-fn a_start_without_an_answer_is_repeated_then_stopped_before_it_is_given_up() {
-    let mut bed = Bed::open();
-    bed.start(4);
+fn a_start_without_a_reply_is_retried_then_stopped_before_it_is_given_up() {
+    let mut harness = Harness::new();
+    harness.start(4);
     for _ in 0..3 {
-        bed.answer(silence());
+        harness.reply(timeout());
     }
-    bed.answer(ok());
-    let before = bed.told();
-    bed.held(&[], &[]);
-    assert_snapshot!(format!("{before}\n-- looked\n{}", bed.told()), @r"
+    harness.reply(ok());
+    let before = harness.take_lines();
+    harness.reply_to_poll(&[], &[]);
+    assert_snapshot!(format!("{before}\n-- polled\n{}", harness.take_lines()), @r"
     > start j.0.0.0 run 4 until 56880
     > start j.0.0.0 run 4 until 56880
-    > hold seen 0 wait 1000
+    > poll acknowledging 0 wait 1000
     > start j.0.0.0 run 4 until 56880
     > stop j.0.0.0 run 4
-    > hold seen 0 wait 0
-    -- looked
+    > poll acknowledging 0 wait 0
+    -- polled
     status fenced true running 0 ended 0
     unstarted j.0.0.0 run 4 Silent
     ");
 }
 
-// Symptom: a task that is done runs again. Sequence: the agent restarts, the
-// owner repeats a start, the worker refuses it as old because that run is done.
-// Cause: the refusal was told before the end.
+// The agent restarts, the owner repeats a start, and the worker refuses it as old because that run
+// is done. If the refusal were reported before the end, a task that is done would run again.
 #[test]
-fn an_end_is_told_before_the_refusal_of_a_start_that_came_again() {
-    let mut bed = Bed::open();
-    bed.start(4);
-    bed.answer(Ok(Reply::Refused(Refused::Old)));
-    bed.answer(ok());
-    bed.held(&[], &[done(4)]);
-    assert_snapshot!(bed.told(), @r"
+fn an_end_is_reported_before_the_refusal_of_a_repeated_start() {
+    let mut harness = Harness::new();
+    harness.start(4);
+    harness.reply(Ok(Reply::Refused(Refused::Old)));
+    harness.reply(ok());
+    harness.reply_to_poll(&[], &[done(4)]);
+    assert_snapshot!(harness.take_lines(), @r"
     > start j.0.0.0 run 4 until 56880
     > stop j.0.0.0 run 4
-    > hold seen 0 wait 0
+    > poll acknowledging 0 wait 0
     status fenced true running 0 ended 1
     unstarted j.0.0.0 run 4 Silent
     ");
 }
 
-// Symptom: a task runs on two workers. Sequence: an agent passes a start on and
-// restarts, the worker begins to leave, the owner repeats the start and the agent
-// refuses it by itself. Cause: it did not ask the worker whether the first one had
-// taken effect, nor wait until the stop was through.
+// An agent forwards a start and restarts, the worker begins to drain, and the owner repeats the
+// start, which the agent then refuses. The first one may have taken effect, so the agent must stop
+// the run and wait for its end; otherwise the task would run on two workers.
 #[test]
-fn a_start_that_the_agent_refuses_by_itself_is_settled_with_the_worker() {
-    let mut bed = Bed::open();
-    bed.runner.on_heartbeat(&heartbeat(&worker(true), "10.0.0.1:80", 50_100), bed.now);
-    bed.drain();
-    bed.start(4);
-    bed.answer(ok());
-    bed.held(&[listed(4)], &[]);
-    let before = bed.told();
-    bed.held(&[], &[done(4)]);
-    assert_snapshot!(format!("{before}\n-- ended\n{}", bed.told()), @r"
+fn a_start_that_the_agent_refuses_is_settled_with_the_worker() {
+    let mut harness = Harness::new();
+    harness.runner.on_heartbeat(&heartbeat(&worker(true), "10.0.0.1:80", 50_100), harness.now);
+    harness.collect_outputs();
+    harness.start(4);
+    harness.reply(ok());
+    harness.reply_to_poll(&[listed(4)], &[]);
+    let before = harness.take_lines();
+    harness.reply_to_poll(&[], &[done(4)]);
+    assert_snapshot!(format!("{before}\n-- ended\n{}", harness.take_lines()), @r"
     status fenced true running 0 ended 0
     > stop j.0.0.0 run 4
-    > hold seen 0 wait 0
+    > poll acknowledging 0 wait 0
     status fenced true running 1 ended 0
-    > hold seen 0 wait 1000
+    > poll acknowledging 0 wait 1000
     -- ended
     status fenced true running 0 ended 1
     unstarted j.0.0.0 run 4 Silent
     ");
 }
 
-// Symptom: work runs on beyond the time at which its owner takes it for gone.
-// Sequence: the worker hears each renewal, but its answers are lost.
-// Cause: leases were renewed for as long as the owner granted them.
+// The worker receives each renewal of its lease, but its replies are lost. If its lease were
+// extended as long as the owner grants it, its runs would go on after the owner takes them for
+// ended.
 #[test]
-fn a_worker_whose_answers_are_lost_is_not_kept_alive() {
-    let mut bed = Bed::open();
-    bed.start(4);
-    bed.answer(ok());
-    bed.held(&[listed(4)], &[]);
-    bed.told();
+fn the_lease_of_a_worker_whose_replies_are_lost_is_not_extended() {
+    let mut harness = Harness::new();
+    harness.start(4);
+    harness.reply(ok());
+    harness.reply_to_poll(&[listed(4)], &[]);
+    harness.take_lines();
     let mut ends = Vec::new();
     for _ in 0..4 {
-        bed.pass(2400);
-        let stamp = bed.now;
-        bed.order(Order::Grant { stamp });
-        let (id, call) = bed.calls.pop().expect("a look");
+        harness.advance(2400);
+        let stamp = harness.now;
+        harness.order(Order::Grant { stamp });
+        let (id, call) = harness.calls.pop().expect("a poll");
         if let Action::Hold { lease_end: Some(lease_end), .. } = call.action {
             ends.push(lease_end.to_string());
         }
-        bed.runner.on_reply(id, silence(), bed.now);
-        bed.pass(300);
+        harness.runner.on_reply(id, timeout(), harness.now);
+        harness.advance(300);
     }
     assert_snapshot!(ends.join("\n"), @r"
     56880
@@ -234,52 +234,51 @@
     ");
 }
 
-// Symptom: a run lapses unseen and its job never goes on. Sequence: a start takes
-// effect, the look that follows gets no answer. Cause: only the look's beginning
-// was remembered, so none came after it.
+// A start takes effect, and the poll after it gets no reply. It must be repeated, or the run would
+// expire undetected and its job never go on.
 #[test]
-fn a_look_without_an_answer_is_repeated() {
-    let mut bed = Bed::open();
-    bed.start(4);
-    bed.answer(ok());
-    bed.told();
-    let (id, _) = bed.calls.pop().expect("a look");
-    bed.runner.on_reply(id, silence(), bed.now);
-    bed.pass(300);
-    assert_snapshot!(bed.told(), @r"> hold seen 0 wait 0");
+fn a_poll_without_a_reply_is_repeated() {
+    let mut harness = Harness::new();
+    harness.start(4);
+    harness.reply(ok());
+    harness.take_lines();
+    let (id, _) = harness.calls.pop().expect("a poll");
+    harness.runner.on_reply(id, timeout(), harness.now);
+    harness.advance(300);
+    assert_snapshot!(harness.take_lines(), @r"> poll acknowledging 0 wait 0");
 }
 
 #[test]
-fn a_pace_is_passed_on_once_and_never_to_another_life() {
-    let mut bed = Bed::open();
-    bed.told();
+fn a_pace_is_forwarded_once_and_never_to_another_incarnation() {
+    let mut harness = Harness::new();
+    harness.take_lines();
     let pace =
         |worker: &str| Order::Pace { worker: worker.into(), task: task(), run: 1, percent: 50 };
-    bed.order(pace("i0"));
-    bed.order(pace("i1"));
-    assert_snapshot!(bed.told(), @"> pace j.0.0.0 run 1 at 50");
+    harness.order(pace("i0"));
+    harness.order(pace("i1"));
+    assert_snapshot!(harness.take_lines(), @"> pace j.0.0.0 run 1 at 50");
 }
 
-/// A report, numbered by the worker's clock.
+/// A heartbeat whose sequence number is the worker's clock.
 fn heartbeat<'a>(worker: &'a Worker, address: &'a str, clock: u64) -> Heartbeat<'a> {
     Heartbeat { worker, address, clock, number: clock }
 }
 
-// Symptom: a task starts in a zone that operators evacuate, by an order that was on its way. Sequence: the
-// owner orders a start, hears of the evacuation, and tells the agent; a cut delivers both, late.
+// The owner orders a start and then sends an evacuation of the zone, and a network partition
+// delays both. The start must not take effect in the evacuated zone.
 #[test]
-fn a_start_that_comes_after_the_word_of_an_evacuation_is_refused() {
-    let mut bed = Bed::open();
+fn a_start_that_arrives_after_an_evacuation_order_is_refused() {
+    let mut harness = Harness::new();
     let mut zones = Evacuation::default();
     zones.begin("");
-    bed.order(Order::Evacuate { zones });
-    bed.start(4);
-    let evacuated = bed.told();
-    bed.order(Order::Evacuate { zones: Evacuation::default() });
-    bed.start(5);
-    assert_snapshot!(format!("{evacuated}\n-- taken back\n{}", bed.told()), @r"
+    harness.order(Order::Evacuate { zones });
+    harness.start(4);
+    let in_evacuation = harness.take_lines();
+    harness.order(Order::Evacuate { zones: Evacuation::default() });
+    harness.start(5);
+    assert_snapshot!(format!("{in_evacuation}\n-- after the evacuation\n{}", harness.take_lines()), @r"
     > stop j.0.0.0 run 4
-    -- taken back
+    -- after the evacuation
     > start j.0.0.0 run 5 until 56880
     ");
 }
