--- a/crates/runner/tests/refusals.rs
+++ b/crates/runner/tests/refusals.rs
@@ -1,68 +1,65 @@
-//! Signs of life that prove nothing: they must not put off what waits for a proof.
+//! Signs of life that do not show what a worker runs must not delay work.
 
-mod world;
+mod simulation;
 
 use insta::assert_snapshot;
-use world::{Mood, World, job};
+use simulation::{Behavior, Simulation, job};
 
-// Symptom: after all processes were killed, or lost power, jobs that had been accepted
-// before never start again, while new ones run. Sequence: a worker is lost for good; all
-// processes end; its agent starts anew, connects to the new owner, and pings. Cause: the
-// new owner waited for each agent to report or its lease to lapse, and each ping of that
-// agent renewed a lease under which nothing could run.
+// All processes end, and one worker is lost for good. Its agent restarts, connects to the new
+// owner and pings. If each ping renewed a lease under which nothing can run, the new owner would
+// wait for that agent forever, and jobs that were accepted before would never start again.
 #[test]
-fn older_jobs_start_though_an_agent_has_lost_its_worker_for_good() {
-    let mut world = World::open(2, 2);
-    world.owner.job("old", job(1), 50, None);
-    world.report(0);
-    world.link(0);
-    world.link(1);
-    world.pass(7600);
-    let before = world.told();
-    world.pass(1000);
-    assert_snapshot!(format!("{before}\n{}", world.told()), @r"
+fn older_jobs_start_although_an_agent_has_lost_its_worker_for_good() {
+    let mut sim = Simulation::new(2, 2);
+    sim.owner.job("old", job(1), 50, None);
+    sim.send_heartbeat(0);
+    sim.connect(0);
+    sim.connect(1);
+    sim.advance(7600);
+    let before = sim.take_orders();
+    sim.advance(1000);
+    assert_snapshot!(format!("{before}\n{}", sim.take_orders()), @r"
     nothing
     7700 ms: w0 start old.0.0.0 run 1001
     ");
 }
 
-// Symptom: as above. Sequence: all processes are killed; a worker that is unhealthy
-// reports itself well and refuses every look of the new owner. Cause: a refusal counted
-// as an answer, so the worker never seemed silent, and nothing proved what it runs.
+// All processes end, and an unhealthy worker sends heartbeats but refuses each poll of the new
+// owner. If a refusal counted as a sign of life, the worker would never seem silent, and jobs that
+// were accepted before would never start again.
 #[test]
-fn older_jobs_start_though_a_worker_refuses_every_look() {
-    let mut world = World::open(2, 2);
-    world.owner.job("old", job(1), 50, None);
-    world.sides[1].mood = Mood::Refusing;
+fn older_jobs_start_although_a_worker_refuses_every_poll() {
+    let mut sim = Simulation::new(2, 2);
+    sim.owner.job("old", job(1), 50, None);
+    sim.nodes[1].behavior = Behavior::RefusesAll;
     for number in 0..2 {
-        world.report(number);
-        world.link(number);
+        sim.send_heartbeat(number);
+        sim.connect(number);
     }
-    world.pass(6000);
-    let before = world.told();
-    world.pass(14_000);
-    assert_snapshot!(format!("{before}\n{}", world.told()), @r"
+    sim.advance(6000);
+    let before = sim.take_orders();
+    sim.advance(14_000);
+    assert_snapshot!(format!("{before}\n{}", sim.take_orders()), @r"
     nothing
     7100 ms: w0 start old.0.0.0 run 1001
     ");
 }
 
-// Symptom: a job stands still beside idle workers. Sequence: a worker becomes unhealthy
-// while nothing runs there and refuses the start that comes next, and the stop that was to
-// make sure of it, again and again. Cause: a start that was refused each time was taken for
-// one that may yet take effect.
+// A worker becomes unhealthy while idle, and refuses the next start, and any stop, each time. A
+// start that was refused at each attempt cannot take effect later; if it were treated as
+// unsettled, its job would wait beside idle workers.
 #[test]
 fn a_start_that_a_worker_refuses_goes_elsewhere_at_once() {
-    let mut world = World::open(1, 2);
+    let mut sim = Simulation::new(1, 2);
     for number in 0..2 {
-        world.report(number);
-        world.link(number);
+        sim.send_heartbeat(number);
+        sim.connect(number);
     }
-    world.pass(1000);
-    world.sides[0].mood = Mood::Refusing;
-    world.owner.job("new", job(1), 150, None);
-    world.pass(14_000);
-    assert_snapshot!(world.told(), @r"
+    sim.advance(1000);
+    sim.nodes[0].behavior = Behavior::RefusesAll;
+    sim.owner.job("new", job(1), 150, None);
+    sim.advance(14_000);
+    assert_snapshot!(sim.take_orders(), @r"
     1100 ms: w0 start new.0.0.0 run 1
     1100 ms: w1 start new.0.0.0 run 2
     ");
