--- a/crates/runner/tests/refusals.rs
+++ b/crates/runner/tests/refusals.rs
@@ -31,7 +31,7 @@
 fn older_jobs_start_although_a_worker_refuses_every_poll() {
     let mut sim = Simulation::new(2, 2);
     sim.owner.job("old", job(1), 50, None);
-    sim.nodes[1].behavior = Behavior::RefusesAll;
+    sim.nodes[1].behavior = Behavior::Busy;
     for number in 0..2 {
         sim.send_heartbeat(number);
         sim.connect(number);
@@ -56,7 +56,7 @@
         sim.connect(number);
     }
     sim.advance(1000);
-    sim.nodes[0].behavior = Behavior::RefusesAll;
+    sim.nodes[0].behavior = Behavior::Busy;
     sim.owner.job("new", job(1), 150, None);
     sim.advance(14_000);
     assert_snapshot!(sim.take_orders(), @r"
--- a/crates/runner/tests/repeated_starts.rs
+++ b/crates/runner/tests/repeated_starts.rs
@@ -21,7 +21,7 @@
     sim.nodes[0].behavior = Behavior::DelaysStarts(2000);
     sim.owner.job("new", job(1), 150, None);
     sim.advance(1200);
-    sim.nodes[0].behavior = Behavior::RefusesAll;
+    sim.nodes[0].behavior = Behavior::Busy;
     sim.advance(500);
     sim.owner.unlinked(0);
     sim.connect(0);
--- a/crates/runner/tests/simulation/node.rs
+++ b/crates/runner/tests/simulation/node.rs
@@ -10,7 +10,7 @@
     /// It carries out all calls.
     Healthy,
     /// It is unhealthy, and refuses all calls as busy.
-    RefusesAll,
+    Busy,
     /// It refuses all calls but polls.
     RefusesStarts,
     /// Starts get no reply, and are carried out this many milliseconds after their timeout; other
@@ -107,7 +107,7 @@
         match self.behavior {
             Behavior::Healthy => {}
             Behavior::RefusesStarts if is_poll => {}
-            Behavior::RefusesAll | Behavior::RefusesStarts => {
+            Behavior::Busy | Behavior::RefusesStarts => {
                 return Ok(Reply::Refused(Refused::Busy));
             }
             Behavior::Down => return Err(Fault::Unsent { detail: "refused".into() }),
