--- a/crates/runner/tests/ended_incarnations.rs
+++ b/crates/runner/tests/ended_incarnations.rs
@@ -23,7 +23,7 @@
     sim.deliver_stale_heartbeat(0);
     sim.advance(20_000);
     // The job fills both workers.
-    sim.owner.job("new", job(16), 150, None);
+    sim.owner.add_job("new", job(16), 150, None);
     sim.advance(5000);
     let orders = sim.take_orders();
     let first = orders.lines().filter(|line| line.contains("w0 start")).count();
@@ -41,7 +41,7 @@
     }
     sim.replace_worker(0);
     sim.advance(2000);
-    sim.owner.job("new", job(1), 150, None);
+    sim.owner.add_job("new", job(1), 150, None);
     sim.advance(1000);
     sim.restart_agent(0);
     sim.advance(500);
@@ -72,7 +72,7 @@
     sim.advance(2000);
     sim.deliver_stale_heartbeat(0);
     sim.advance(20_000);
-    sim.owner.job("new", job(16), 150, None);
+    sim.owner.add_job("new", job(16), 150, None);
     sim.advance(5000);
     let orders = sim.take_orders();
     let first = orders.lines().filter(|line| line.contains("w0 start")).count();
--- a/crates/runner/tests/leases.rs
+++ b/crates/runner/tests/leases.rs
@@ -16,7 +16,7 @@
     sim.advance(1000);
     sim.ownership_confirmed = false;
     sim.advance(14_000);
-    sim.owner.job("new", job(1), 150, None);
+    sim.owner.add_job("new", job(1), 150, None);
     sim.advance(1000);
     let before = sim.take_orders();
     sim.ownership_confirmed = true;
--- a/crates/runner/tests/lost_workers.rs
+++ b/crates/runner/tests/lost_workers.rs
@@ -24,7 +24,7 @@
 fn a_gang_with_a_member_at_a_lost_worker_is_stopped_at_once() {
     let mut sim = with_idle_workers(4);
     sim.nodes[0].behavior = Behavior::Down;
-    sim.owner.job("gang", gang(3), 150, None);
+    sim.owner.add_job("gang", gang(3), 150, None);
     sim.advance(3000);
     assert_snapshot!(sim.take_orders(), @r"
     1100 ms: w0 start gang.0.0.0 run 1
@@ -45,7 +45,7 @@
     let mut sim = with_idle_workers(2);
     sim.nodes[0].behavior = Behavior::Down;
     sim.advance(4000);
-    sim.owner.job("new", job(1), 150, None);
+    sim.owner.add_job("new", job(1), 150, None);
     sim.advance(1000);
     assert_snapshot!(sim.take_orders(), @"5100 ms: w1 start new.0.0.0 run 1");
 }
@@ -57,7 +57,7 @@
     let mut sim = with_idle_workers(1);
     sim.nodes[0].behavior = Behavior::Down;
     sim.advance(4000);
-    sim.owner.job("new", job(1), 150, None);
+    sim.owner.add_job("new", job(1), 150, None);
     sim.advance(1000);
     let before = sim.take_orders();
     sim.nodes[0].behavior = Behavior::Healthy;
@@ -77,7 +77,7 @@
     let mut sim = with_idle_workers(2);
     sim.replace_worker(0);
     sim.advance(2000);
-    sim.owner.job("new", job(1), 150, None);
+    sim.owner.add_job("new", job(1), 150, None);
     sim.advance(1000);
     let before = sim.take_orders();
     sim.deliver_stale_heartbeat(0);
--- a/crates/runner/tests/refused_starts.rs
+++ b/crates/runner/tests/refused_starts.rs
@@ -15,7 +15,7 @@
     sim.connect(0);
     sim.advance(1000);
     sim.nodes[0].behavior = Behavior::RefusesStarts;
-    sim.owner.job("new", job(1), 150, None);
+    sim.owner.add_job("new", job(1), 150, None);
     sim.advance(30_000);
     let orders = sim.take_orders();
     let starts = orders.lines().filter(|line| line.contains("start")).count();
--- a/crates/runner/tests/repeated_starts.rs
+++ b/crates/runner/tests/repeated_starts.rs
@@ -19,7 +19,7 @@
     }
     sim.advance(1000);
     sim.nodes[0].behavior = Behavior::DelaysStarts(2000);
-    sim.owner.job("new", job(1), 150, None);
+    sim.owner.add_job("new", job(1), 150, None);
     sim.advance(1200);
     sim.nodes[0].behavior = Behavior::Busy;
     sim.advance(500);
@@ -47,7 +47,7 @@
     }
     sim.advance(1000);
     sim.nodes[0].behavior = Behavior::DelaysStarts(3000);
-    sim.owner.job("new", job(1), 150, None);
+    sim.owner.add_job("new", job(1), 150, None);
     sim.advance(500);
     sim.nodes[0].behavior = Behavior::RefusesStarts;
     sim.restart_agent(0);
--- a/crates/runner/tests/restarts.rs
+++ b/crates/runner/tests/restarts.rs
@@ -15,7 +15,7 @@
     sim.send_heartbeat(0);
     sim.connect(0);
     sim.advance(1000);
-    sim.owner.job("a", job(3), 150, None);
+    sim.owner.add_job("a", job(3), 150, None);
     sim.advance(1000);
     sim.finish_runs(0, "a");
     sim.advance(2000);
@@ -33,8 +33,8 @@
     sim.restart_worker(0);
     sim.send_heartbeat(0);
     sim.advance(500);
-    sim.owner.job("b", job(1), 160, None);
-    sim.owner.job("goes-on", job(1), 161, None);
+    sim.owner.add_job("b", job(1), 160, None);
+    sim.owner.add_job("goes-on", job(1), 161, None);
     sim.advance(500);
     sim.finish_runs(0, "b");
     sim.advance(20_000);
@@ -57,7 +57,7 @@
     }
     sim.advance(1000);
     sim.nodes[0].behavior = Behavior::DelaysStarts(8000);
-    sim.owner.job("a", gang(1), 150, None);
+    sim.owner.add_job("a", gang(1), 150, None);
     sim.advance(4000);
     sim.restart_worker(0);
     sim.send_heartbeat(0);
--- a/crates/runner/tests/simulation/mod.rs
+++ b/crates/runner/tests/simulation/mod.rs
@@ -53,7 +53,7 @@
     /// Creates an owner that has just claimed `epoch`. It has the rows of the agents of all
     /// workers, but no connections to them.
     pub fn new(epoch: u64, workers: usize) -> Simulation {
-        let mut owner = Owner::open(self::owner_settings(), epoch, CLAIM_VERSION, START_MS);
+        let mut owner = Owner::new(self::owner_settings(), epoch, CLAIM_VERSION, START_MS);
         for number in 0..workers {
             owner.agent(&format!("w{number}"), START_MS);
         }
@@ -76,21 +76,21 @@
     /// Submits a job, and keeps it for later owners.
     pub fn submit(&mut self, name: &str, job: Job, version: u64) {
         self.jobs.push((name.to_owned(), job.clone(), version));
-        self.owner.job(name, job, version, None);
+        self.owner.add_job(name, job, version, None);
     }
 
     /// Replaces the owner by another entry, which has read all rows.
     pub fn take_over(&mut self, epoch: u64) {
         let now = self.now;
-        self.owner = Owner::open(self::owner_settings(), epoch, CLAIM_VERSION * 10 * epoch, now);
-        self.owner.former_ended();
+        self.owner = Owner::new(self::owner_settings(), epoch, CLAIM_VERSION * 10 * epoch, now);
+        self.owner.predecessor_ended();
         self.owner.evacuate(&self.evacuation, now);
         for number in 0..self.nodes.len() {
             self.owner.agent(&format!("w{number}"), now);
         }
         for (name, job, version) in &self.jobs {
             let progress = self.recorded.get(name).cloned();
-            self.owner.job(name, job.clone(), *version, progress);
+            self.owner.add_job(name, job.clone(), *version, progress);
         }
         for number in 0..self.nodes.len() {
             self.connect(number);
@@ -212,7 +212,7 @@
                 self.step_node(number);
             }
             if self.ownership_confirmed {
-                self.owner.confirm(self.now);
+                self.owner.confirm_ownership(self.now);
             }
             if self.reads_evacuation {
                 self.owner.evacuate(&self.evacuation, self.now);
@@ -254,7 +254,7 @@
     fn deliver(&mut self) {
         for _ in 0..MAX_ROUNDS {
             let mut quiet = true;
-            for output in self.owner.outputs() {
+            for output in self.owner.take_outputs() {
                 if let OwnerOutput::Send { link, order } = output {
                     quiet = false;
                     self.log_order(link, &order);
@@ -288,7 +288,7 @@
                 Output::Call { id, call } => {
                     node.calls.push((node.reply_time(&call, now), id, call))
                 }
-                Output::Send { link, notice } => self.owner.notice(link, notice, now),
+                Output::Send { link, notice } => self.owner.on_notice(link, notice, now),
                 // The owner is disconnected too, and dials again in the next step.
                 Output::Close { link } => {
                     self.owner.unlinked(link);
