--- a/crates/runner/tests/simulation/node.rs
+++ b/crates/runner/tests/simulation/node.rs
@@ -107,9 +107,7 @@
         match self.behavior {
             Behavior::Healthy => {}
             Behavior::RefusesStarts if is_poll => {}
-            Behavior::Busy | Behavior::RefusesStarts => {
-                return Ok(Reply::Refused(Refused::Busy));
-            }
+            Behavior::Busy | Behavior::RefusesStarts => return Ok(Reply::Refused(Refused::Busy)),
             Behavior::Down => return Err(Fault::Unsent { detail: "refused".into() }),
             Behavior::DelaysStarts(delay) if matches!(call.action, Action::Start { .. }) => {
                 self.delayed_starts.push((now + delay, call.clone()));
