--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -5,7 +5,7 @@
 use crate::close_reason::CloseReason;
 use crate::refusals::Refusals;
 use crate::settings::Settings;
-use crate::suspects::Crash;
+use crate::suspects::SuspectedCrash;
 
 /// What the owner knows of one agent and its worker.
 #[derive(Clone, Debug, Default)]
@@ -39,7 +39,7 @@
     pub blame: Blame,
     /// Starts just after which the worker broke its connections, if it has not answered
     /// since: if it is gone, one of them has crashed it.
-    pub crash: Option<Crash>,
+    pub crash: Option<SuspectedCrash>,
     /// Starts that its worker refused of late.
     pub refusals: Refusals,
     /// Its worker said that it ends, and no other has reported since.
@@ -78,8 +78,9 @@
     /// answered within a `lease`. An agent that lives does not make a member of a
     /// worker that is gone: each later owner would wait for it.
     pub fn update_liveness(&mut self, settings: &Settings, now: u64) {
-        let lease = settings.lease + settings.margin;
-        let answers = self.link.is_some() && self.fenced && self.silent_ms < settings.overdue;
+        let lease = settings.lease + settings.lease_margin;
+        let answers =
+            self.link.is_some() && self.fenced && self.silent_ms < settings.answer_overdue;
         match answers || self.worker.is_none() {
             true => self.unresponsive_since = None,
             false => {
@@ -117,7 +118,7 @@
     /// start with less than a fourth of one, and an owner that granted none but went
     /// on ordering would be refused hundreds of times a second.
     pub fn has_lease(&self, settings: &Settings, now: u64) -> bool {
-        now + settings.lease / 4 + settings.margin < self.leases_expire_at
+        now + settings.lease / 4 + settings.lease_margin < self.leases_expire_at
     }
 
     /// True if runs may start there.
--- a/crates/dispatch/src/batch.rs
+++ b/crates/dispatch/src/batch.rs
@@ -1,33 +1,33 @@
 use quincewheel_job::{Id, Incarnation, Progress};
 
+use crate::checkpoints::Checkpoints;
 use crate::rows;
-use crate::saved::Saved;
 use crate::times::Times;
 
-/// What the owner wants recorded in one transaction.
+/// State that the owner records in one transaction.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
     /// Jobs whose progress changed.
     pub jobs: Vec<(Id, Progress)>,
-    /// What workers may forget once the batch is recorded.
-    pub seen: Vec<Seen>,
-    /// Waves of maintenance that are new, or through.
-    pub waves: Vec<(u64, rows::Seen)>,
-    /// Agents that are no members any more.
-    pub gone: Vec<String>,
-    /// Checkpoints of jobs whose tasks saved more.
-    pub saved: Vec<(Id, Saved)>,
-    /// Run times, if more were learned since the last batch.
+    /// Ends that workers may forget once the batch is recorded.
+    pub acknowledged: Vec<AcknowledgedEnds>,
+    /// Waves of maintenance that are new or complete.
+    pub waves: Vec<(u64, rows::WaveRecord)>,
+    /// Agents whose rows are deleted.
+    pub departed: Vec<String>,
+    /// Checkpoints of jobs whose tasks have newer ones than recorded.
+    pub checkpoints: Vec<(Id, Checkpoints)>,
+    /// Learned run times, if they changed since the last batch.
     pub times: Option<Times>,
 }
 
-/// Ends up to `number` of one incarnation of a worker.
+/// The ends of one incarnation of a worker up to a number.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Seen {
+pub struct AcknowledgedEnds {
     /// The worker's agent.
     pub agent: String,
-    /// Which incarnation of the worker.
+    /// The incarnation of the worker.
     pub worker: Incarnation,
-    /// The last of the ends.
+    /// The number of the last end.
     pub number: u64,
 }
--- a/crates/dispatch/src/close_reason.rs
+++ b/crates/dispatch/src/close_reason.rs
@@ -31,7 +31,7 @@
             (agent.cordoned || agent.shutdown_requested, CloseReason::Maintenance),
             (agent.zone_evacuated, CloseReason::Evacuated),
             (draining, CloseReason::Draining),
-            (agent.silent_ms >= settings.mute, CloseReason::Silent),
+            (agent.silent_ms >= settings.unresponsive_after, CloseReason::Silent),
             (!agent.has_lease(settings, now), CloseReason::Lease),
         ];
         lacks.into_iter().find(|(holds, _)| *holds).map(|(_, lack)| lack)
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -2,9 +2,9 @@
 
 use quincewheel_job::{Id, Incarnation, Job, Progress, Step};
 
-use crate::advice::Clearance;
+use crate::checkpoints::Checkpoints;
+use crate::clearance::Clearance;
 use crate::owner::task;
-use crate::saved::Saved;
 use crate::settings::Settings;
 
 /// An occurrence, a step and a task's index in it.
@@ -107,7 +107,7 @@
         }
         let ran = self.updated_at.saturating_sub(self.started_at);
         let left = ran * u64::from(100 - self.percent.min(100)) / u64::from(self.percent);
-        self.updated_at + left <= now + settings.stop + settings.ending
+        self.updated_at + left <= now + settings.stop_timeout + settings.completion_grace
     }
 }
 
@@ -144,9 +144,9 @@
     }
 
     /// The checkpoints that are worth a record: those of tasks not yet done.
-    pub fn open_checkpoints(&self, id: &str) -> Saved {
+    pub fn open_checkpoints(&self, id: &str) -> Checkpoints {
         let open = self.saved.iter().filter(|(key, _)| !self.progress.done(&task(id, **key)));
-        Saved::open(open)
+        Checkpoints::new(open)
     }
 
     /// The key under which a task's numbers, checkpoint and failures are kept.
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -4,20 +4,20 @@
 use quincewheel_wire::{LinkId, Notice, Order};
 
 use crate::agent::Agent;
-use crate::awaited::Awaited;
+use crate::checkpoints::Checkpoints;
 use crate::detail::list;
 use crate::dismissal::Dismissal;
-use crate::election::SOONEST;
+use crate::election::OWNER_TIMEOUT_MS;
 use crate::entry::{Entry, Key, Phase, Placement};
-use crate::evacuation::Evacuated;
+use crate::evacuation::EvacuationState;
 use crate::guide::Guide;
 use crate::listing::Listing;
+use crate::maintenance::Maintenance;
 use crate::output::Output;
 use crate::review::Review;
-use crate::saved::Saved;
 use crate::settings::Settings;
+use crate::settlement::SettlementLog;
 use crate::times::Times;
-use crate::upkeep::Upkeep;
 use crate::waits::Waits;
 
 /// Decides over all jobs.
@@ -72,7 +72,7 @@
     /// Nothing that a former owner started can be unknown any more.
     pub(crate) settled: bool,
     /// What was told of members that older jobs wait for.
-    pub(crate) awaited: Awaited,
+    pub(crate) awaited: SettlementLog,
     /// Workers as they were when what waits was looked at last.
     pub(crate) review: Review,
     /// What waits for its start, and what was told of it.
@@ -82,9 +82,9 @@
     /// What had just started at workers that crashed, where it was several tasks.
     pub(crate) suspect_groups: Vec<Vec<Task>>,
     /// Waves of maintenance.
-    pub(crate) upkeep: Upkeep,
+    pub(crate) upkeep: Maintenance,
     /// Availability zones in which nothing starts.
-    pub(crate) evacuated: Evacuated,
+    pub(crate) evacuated: EvacuationState,
     pub(crate) next_unit: u64,
     /// The next time of day at which time alone changes what may start.
     pub(crate) replan_at: Option<u64>,
@@ -98,7 +98,7 @@
 
 /// An owner cannot have been replaced within this time after it sent a write of its row that
 /// took effect, in milliseconds; a margin is left for clocks that run apart.
-const SURE: u64 = SOONEST - 200;
+const SURE: u64 = OWNER_TIMEOUT_MS - 200;
 
 impl Owner {
     /// An owner under `epoch`, claimed when the table was at `version`.
@@ -134,13 +134,13 @@
             majority_since: None,
             predecessor_ended: false,
             settled: false,
-            awaited: Awaited::default(),
+            awaited: SettlementLog::default(),
             review: Review::default(),
             waits: Waits::default(),
             listing: Listing::default(),
             suspect_groups: Vec::new(),
-            upkeep: Upkeep::default(),
-            evacuated: Evacuated::default(),
+            upkeep: Maintenance::default(),
+            evacuated: EvacuationState::default(),
             next_unit: 1,
             replan_at: None,
             outputs: Vec::new(),
@@ -250,9 +250,9 @@
     }
 
     /// A job's checkpoints as they were recorded.
-    pub fn restore_checkpoints(&mut self, id: &str, saved: &Saved) {
+    pub fn restore_checkpoints(&mut self, id: &str, saved: &Checkpoints) {
         if let Some(entry) = self.jobs.get_mut(id) {
-            for (key, checkpoint) in saved.tasks() {
+            for (key, checkpoint) in saved.by_task() {
                 entry.saved.entry(key).or_insert(checkpoint);
             }
         }
@@ -288,18 +288,20 @@
         match notice {
             Notice::Superseded { epoch } => self.outputs.push(Output::Deposed { epoch }),
             Notice::Ping { stamp, silent } => {
-                self.hear(&name, silent);
-                self.grant(&name, link, stamp, silent, now);
+                self.update_silence(&name, silent);
+                self.grant_lease(&name, link, stamp, silent, now);
             }
-            Notice::Left { worker } => self.left(&name, &worker),
-            Notice::Broke { worker, starts } => self.broke(&name, worker, starts),
+            Notice::Left { worker } => self.on_left(&name, &worker),
+            Notice::Broke { worker, starts } => self.on_connections_broken(&name, worker, starts),
             Notice::Status { stamp, worker, fenced, running, ended } => {
-                self.grant(&name, link, stamp, 0, now);
-                self.status(&name, worker, fenced, (&running, &ended), (stamp, now));
+                self.grant_lease(&name, link, stamp, 0, now);
+                self.on_status(&name, worker, fenced, (&running, &ended), (stamp, now));
             }
-            Notice::Started { task, run } => self.started(&task, run, now),
-            Notice::Unstarted { task, run, why } => self.unstarted(&name, &task, run, why, now),
-            Notice::Stopped { task, run } => self.stopped(&task, run),
+            Notice::Started { task, run } => self.on_started(&task, run, now),
+            Notice::Unstarted { task, run, why } => {
+                self.on_start_refused(&name, &task, run, why, now)
+            }
+            Notice::Stopped { task, run } => self.on_stopped(&task, run),
             // Not an agent's: jobs reach the owner as rows of the table.
             Notice::Entry(_) => {}
         }
@@ -315,8 +317,8 @@
             self.agents_checked_at = now;
             self.check_agents(now);
         }
-        self.reopen(now);
-        self.ask_refusers(now);
+        self.reopen_workers(now);
+        self.end_backoffs(now);
         if !self.settled && self.check_settled(now) {
             self.settled = true;
             self.replan = true;
@@ -324,8 +326,8 @@
             let detail = format!("{} ms; not heard: {waited}", now - self.claimed_at);
             self.log("settled", "", detail);
         }
-        self.ask_for_list(now);
-        self.maintain(now, wall);
+        self.poll_machines(now);
+        self.advance_waves(now, wall);
         // A job whose room did not become free would stand still beside idle workers
         // until something else happens.
         self.replan |= self.reservation_ends_at.take_if(|at| *at <= now).is_some();
@@ -333,7 +335,7 @@
         if due || self.advice_retry_at.take_if(|at| *at <= now).is_some() {
             self.replan = true;
         }
-        if self.replan && !self.is_deaf(now) {
+        if self.replan && !self.operators_unreachable(now) {
             self.replan = false;
             self.plan(now, wall);
         }
@@ -345,10 +347,10 @@
         for agent in self.agents.values_mut() {
             agent.update_liveness(&self.settings, now);
         }
-        self.close_silent(now);
-        self.lapse(now);
+        self.close_unresponsive(now);
+        self.expire_leases(now);
         self.stop_unlisted(now);
-        self.look_at_evacuated(now);
+        self.check_evacuated_zones(now);
     }
 
     /// True if the owner knows that the job has ended, recorded or not.
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -11,7 +11,7 @@
 use crate::owner::Owner;
 use crate::plan::held;
 use crate::snapshot::Snapshot;
-use crate::suspects::Fresh;
+use crate::suspects::RecentStart;
 
 impl Owner {
     /// Starts a step on the room that was kept for it. False if that is void.
@@ -36,12 +36,13 @@
             let key = (candidate.occurrence, candidate.step, 0);
             entry.job.queue.advice.is_none() || entry.ticket(key, worker, now).is_some()
         };
-        let until = reservation.made_at + self.settings.reservation;
+        let until = reservation.made_at + self.settings.reservation_ttl;
         // A worker that is left alone for a moment after a refusal keeps its promise; taken
         // for void, work at another one would be stopped as well.
         let paused =
             |name: &String| self.agents.get(name).is_some_and(|agent| agent.refusals.until > 0);
-        let trial = |place: &usize| snapshot.recent_starts.get(place) == Some(&Fresh::Suspect);
+        let trial =
+            |place: &usize| snapshot.recent_starts.get(place) == Some(&RecentStart::Suspect);
         if now < until && (reservation.agents.iter().any(paused) || places.iter().any(trial)) {
             self.keep_until(until);
             return true;
@@ -100,13 +101,13 @@
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let held = held(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
-        let promised = promised(begin, self.settings.reclaim, self.settings.stop);
+        let promised = promised(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
         let guaranteed = candidate.guaranteed();
         let due = guaranteed && wall >= promised;
         let count = rest.len() as u32;
         let over = if due { Hold::Borrowed } else { Hold::Lower };
         let ask = Ask { step, pool, count, patient: true, over, sure: guaranteed, held: &held };
-        let last = last_call(begin, self.settings.reclaim, self.settings.stop);
+        let last = last_call(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
         let claim = reclaim(&snapshot.spots, &ask).or_else(|| {
             let others = Ask { over: Hold::Guaranteed, sure: false, ..ask };
             let pressing = due && wall >= last && !entry.has_begun;
@@ -139,7 +140,7 @@
         let agents =
             claim.choices.iter().map(|&place| snapshot.spots[place].name.clone()).collect();
         let reservation = Reservation { agents, made_at: now };
-        self.keep_until(now + self.settings.reservation);
+        self.keep_until(now + self.settings.reservation_ttl);
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
             entry.reservations.insert((candidate.occurrence, candidate.step), reservation);
         }
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -9,8 +9,8 @@
 use crate::agent::Agent;
 use crate::entry::{Key, Phase};
 use crate::owner::Owner;
-use crate::reports::key;
-use crate::suspects::Fresh;
+use crate::reports::task_key;
+use crate::suspects::RecentStart;
 use crate::tally::Bar;
 
 /// Workers, what is free on them, and what could be taken away.
@@ -22,7 +22,7 @@
     /// The runs of each unit that stops as a whole.
     pub units: BTreeMap<u64, Vec<(Id, Key)>>,
     /// Places at which something has just started.
-    pub recent_starts: BTreeMap<usize, Fresh>,
+    pub recent_starts: BTreeMap<usize, RecentStart>,
 }
 
 /// Places that a step leaves free, by why.
@@ -113,14 +113,14 @@
                 stopping: Need::default(),
                 ending: Need::default(),
                 doubtful: agent.doubted_until.max(agent.cold_until) > now
-                    || agent.silent_ms > self.settings.mute / 2,
+                    || agent.silent_ms > self.settings.unresponsive_after / 2,
                 holders: Vec::new(),
             });
         }
         let borrowed = self.borrowed();
         let mut taken = BTreeMap::new();
         let mut units: BTreeMap<u64, Vec<(Id, Key)>> = BTreeMap::new();
-        let mut fresh: BTreeMap<usize, Fresh> = BTreeMap::new();
+        let mut fresh: BTreeMap<usize, RecentStart> = BTreeMap::new();
         for (id, entry) in &self.jobs {
             for (key, placed) in &entry.runs {
                 let Some(step) = entry.step(*key) else { continue };
@@ -128,8 +128,8 @@
                 let Some(&place) = places.get(placed.agent.as_str()) else { continue };
                 let need = step.charge();
                 spots[place].free.take(&need);
-                if let Some(started) = Fresh::of(id, entry, *key, placed, now) {
-                    started.note(&mut fresh, place);
+                if let Some(started) = RecentStart::of(id, entry, *key, placed, now) {
+                    started.record(&mut fresh, place);
                 }
                 let hold = match entry.job.queue.priority {
                     0 if !borrowed.contains(&placed.unit) => Hold::Guaranteed,
@@ -163,7 +163,7 @@
     fn left_by_strays(&self, agent: &Agent, capacity: Need) -> Need {
         let mut left = capacity;
         for task in &agent.strays {
-            let step = self.jobs.get(&task.job).and_then(|entry| entry.step(key(task)));
+            let step = self.jobs.get(&task.job).and_then(|entry| entry.step(task_key(task)));
             let Some(step) = step else { return Need::default() };
             left.take(&step.charge());
         }
--- a/crates/runner/tests/repeated_starts.rs
+++ b/crates/runner/tests/repeated_starts.rs
@@ -23,7 +23,7 @@
     sim.advance(1200);
     sim.nodes[0].behavior = Behavior::Busy;
     sim.advance(500);
-    sim.owner.unlinked(0);
+    sim.owner.on_disconnected(0);
     sim.connect(0);
     sim.advance(1000);
     assert_snapshot!(format!("{}\n-- runs\n{}", sim.take_orders(), sim.running().join("\n")), @r"
--- a/crates/runner/tests/simulation/mod.rs
+++ b/crates/runner/tests/simulation/mod.rs
@@ -55,7 +55,7 @@
     pub fn new(epoch: u64, workers: usize) -> Simulation {
         let mut owner = Owner::new(self::owner_settings(), epoch, CLAIM_VERSION, START_MS);
         for number in 0..workers {
-            owner.agent(&format!("w{number}"), START_MS);
+            owner.add_agent(&format!("w{number}"), START_MS);
         }
         let nodes = (0..workers).map(|_| Node::new()).collect();
         Simulation {
@@ -84,9 +84,9 @@
         let now = self.now;
         self.owner = Owner::new(self::owner_settings(), epoch, CLAIM_VERSION * 10 * epoch, now);
         self.owner.predecessor_ended();
-        self.owner.evacuate(&self.evacuation, now);
+        self.owner.set_evacuation(&self.evacuation, now);
         for number in 0..self.nodes.len() {
-            self.owner.agent(&format!("w{number}"), now);
+            self.owner.add_agent(&format!("w{number}"), now);
         }
         for (name, job, version) in &self.jobs {
             let progress = self.recorded.get(name).cloned();
@@ -185,14 +185,14 @@
 
     /// Connects the owner to an agent.
     pub fn connect(&mut self, number: usize) {
-        self.owner.linked(&format!("w{number}"), number as u64, self.now);
+        self.owner.on_connected(&format!("w{number}"), number as u64, self.now);
     }
 
     /// Restarts an agent's process while its worker runs on.
     pub fn restart_agent(&mut self, number: usize) {
         self.nodes[number].runner = Runner::new(Settings::default());
         self.nodes[number].calls.clear();
-        self.owner.unlinked(number as u64);
+        self.owner.on_disconnected(number as u64);
         self.send_heartbeat(number);
         self.connect(number);
     }
@@ -215,13 +215,13 @@
                 self.owner.confirm_ownership(self.now);
             }
             if self.reads_evacuation {
-                self.owner.evacuate(&self.evacuation, self.now);
+                self.owner.set_evacuation(&self.evacuation, self.now);
             }
             self.owner.tick(self.now, self.now);
             if self.accepts_records
-                && let Some(batch) = self.owner.record()
+                && let Some(batch) = self.owner.next_batch()
             {
-                self.owner.recorded(&batch, true);
+                self.owner.on_recorded(&batch, true);
                 self.recorded.extend(batch.jobs);
             }
             self.deliver();
@@ -291,7 +291,7 @@
                 Output::Send { link, notice } => self.owner.on_notice(link, notice, now),
                 // The owner is disconnected too, and dials again in the next step.
                 Output::Close { link } => {
-                    self.owner.unlinked(link);
+                    self.owner.on_disconnected(link);
                     node.needs_dial = true;
                 }
             }
@@ -324,7 +324,7 @@
 
 /// Settings of an owner whose availability zones can be evacuated.
 fn owner_settings() -> OwnerSettings {
-    OwnerSettings { evacuation: Some(5000), ..OwnerSettings::default() }
+    OwnerSettings { evacuation_deadline: Some(5000), ..OwnerSettings::default() }
 }
 
 fn worker(number: usize, renames: usize) -> Worker {
