--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -204,7 +204,7 @@
         let now = quincewheel_clock::boot();
         match event {
             Event::Frame { link, frame } => agent.runner.borrow_mut().on_order(link, frame, now),
-            Event::Unlinked { link } => agent.runner.borrow_mut().on_disconnect(link),
+            Event::Unlinked { link } => agent.runner.borrow_mut().on_disconnected(link),
             Event::Linked { .. } | Event::Undialled { .. } => {}
         }
         carry_out(&agent);
--- a/crates/runner/src/runner.rs
+++ b/crates/runner/src/runner.rs
@@ -143,7 +143,7 @@
     }
 
     /// Handles the end of a connection.
-    pub fn on_disconnect(&mut self, link: LinkId) {
+    pub fn on_disconnected(&mut self, link: LinkId) {
         if self.link == Some(link) {
             self.link = None;
         }
--- a/crates/runner/tests/announcement.rs
+++ b/crates/runner/tests/announcement.rs
@@ -78,7 +78,7 @@
 #[test]
 fn a_new_incarnation_is_announced_as_soon_as_it_is_verified() {
     let mut harness = Harness::new();
-    harness.runner.on_disconnect(1);
+    harness.runner.on_disconnected(1);
     harness.advance(3000);
     harness.send_heartbeat("i2");
     harness.advance(5);
@@ -90,7 +90,7 @@
 #[test]
 fn an_agent_without_an_owner_writes_its_row_with_backoff() {
     let mut harness = Harness::new();
-    harness.runner.on_disconnect(1);
+    harness.runner.on_disconnected(1);
     for second in 0..80 {
         harness.advance(1000);
         if second % 2 == 0 {
@@ -105,7 +105,7 @@
 #[test]
 fn a_worker_without_heartbeats_is_not_announced() {
     let mut harness = Harness::new();
-    harness.runner.on_disconnect(1);
+    harness.runner.on_disconnected(1);
     for _ in 0..80 {
         harness.advance(1000);
     }
--- a/crates/runner/tests/broken_connections.rs
+++ b/crates/runner/tests/broken_connections.rs
@@ -239,7 +239,7 @@
     let mut harness = Harness::new();
     harness.order_start(0);
     harness.confirm_start();
-    harness.runner.on_disconnect(1);
+    harness.runner.on_disconnected(1);
     harness.reply(harness.poll, closed());
     harness.advance(300);
     harness.reply(harness.poll, Ok(Reply::Refused(Refused::Leaving)));
