--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use quincewheel_job::Step;
-use quincewheel_place::{Ask, Hold, reclaim};
-use quincewheel_policy::{last_call, pays, promised};
+use quincewheel_place::{Protection, Request, plan_preemption};
+use quincewheel_policy::{borrowed_reclaim_at, guaranteed_reclaim_at, is_worth_preempting};
 
 use crate::candidate::Candidate;
 use crate::entry::Reservation;
@@ -32,7 +32,7 @@
             .filter_map(|name| snapshot.spots.iter().position(|spot| spot.name == *name))
             .collect();
         let cleared = |place: &usize| {
-            let worker = &snapshot.spots[*place].worker;
+            let worker = &snapshot.spots[*place].incarnation;
             let key = (candidate.occurrence, candidate.step, 0);
             entry.job.queue.advice.is_none() || entry.ticket(key, worker, now).is_some()
         };
@@ -52,17 +52,17 @@
         if !valid {
             return false;
         }
-        let need = step.charge();
+        let need = step.resources();
         let mut actual = snapshot.actual_free.clone();
         let whole = places.iter().all(|&place| {
             let fits = need.fits(&actual[place]);
-            actual[place].take(&need);
+            actual[place].subtract(&need);
             fits
         });
         if !whole {
             let mut spots = snapshot.spots.clone();
             let promised = places.iter().all(|&place| {
-                let fits = need.fits(&spots[place].near(false));
+                let fits = need.fits(&spots[place].available_soon(false));
                 spots[place].reserve(&need);
                 fits
             });
@@ -101,17 +101,30 @@
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
         let held = held(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
-        let promised = promised(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
+        let promised =
+            borrowed_reclaim_at(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
         let guaranteed = candidate.guaranteed();
         let due = guaranteed && wall >= promised;
         let count = rest.len() as u32;
-        let over = if due { Hold::Borrowed } else { Hold::Lower };
-        let ask = Ask { step, pool, count, patient: true, over, sure: guaranteed, held: &held };
-        let last = last_call(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
-        let claim = reclaim(&snapshot.spots, &ask).or_else(|| {
-            let others = Ask { over: Hold::Guaranteed, sure: false, ..ask };
+        let over = if due { Protection::Borrowed } else { Protection::Lower };
+        let ask = Request {
+            step,
+            pool,
+            count,
+            waits_for_rack: true,
+            preempts: over,
+            ignores_ending: guaranteed,
+            tasks_by_worker: &held,
+        };
+        let last = guaranteed_reclaim_at(
+            begin,
+            self.settings.reclaim_deadline,
+            self.settings.stop_timeout,
+        );
+        let claim = plan_preemption(&snapshot.spots, &ask).or_else(|| {
+            let others = Request { preempts: Protection::Guaranteed, ignores_ending: false, ..ask };
             let pressing = due && wall >= last && !entry.has_begun;
-            pressing.then(|| reclaim(&snapshot.spots, &others)).flatten()
+            pressing.then(|| plan_preemption(&snapshot.spots, &others)).flatten()
         });
         let Some(claim) = claim else {
             if guaranteed {
@@ -120,35 +133,37 @@
             }
             return;
         };
-        if !pays(claim.loss, candidate.work, guaranteed) {
+        if !is_worth_preempting(claim.loss, candidate.work, guaranteed) {
             return;
         }
-        let need = step.charge();
-        let firm: BTreeSet<u64> = (snapshot.spots.iter().flat_map(|spot| &spot.holders))
-            .filter(|holder| holder.hold == Hold::Guaranteed)
+        let need = step.resources();
+        let firm: BTreeSet<u64> = (snapshot.spots.iter().flat_map(|spot| &spot.preemptible))
+            .filter(|holder| holder.protection == Protection::Guaranteed)
             .map(|holder| holder.unit)
             .collect();
         for spot in &mut snapshot.spots {
-            for holder in spot.holders.iter().filter(|holder| claim.units.contains(&holder.unit)) {
-                spot.stopping.give(&holder.need);
+            for holder in
+                spot.preemptible.iter().filter(|holder| claim.victims.contains(&holder.unit))
+            {
+                spot.stopping.add(&holder.need);
             }
-            spot.holders.retain(|holder| !claim.units.contains(&holder.unit));
+            spot.preemptible.retain(|holder| !claim.victims.contains(&holder.unit));
         }
-        for &place in &claim.choices {
+        for &place in &claim.workers {
             snapshot.spots[place].reserve(&need);
         }
         let agents =
-            claim.choices.iter().map(|&place| snapshot.spots[place].name.clone()).collect();
+            claim.workers.iter().map(|&place| snapshot.spots[place].name.clone()).collect();
         let reservation = Reservation { agents, made_at: now };
         self.keep_until(now + self.settings.reservation_ttl);
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
             entry.reservations.insert((candidate.occurrence, candidate.step), reservation);
         }
         let kind = if guaranteed { "guaranteed" } else { "borrowed" };
-        let (units, loss, work) = (claim.units.len(), claim.loss / 1000, candidate.work / 1000);
+        let (units, loss, work) = (claim.victims.len(), claim.loss / 1000, candidate.work / 1000);
         let detail = format!("{kind}: {units} units stop, losing {loss} core-s for {work}");
         self.log("room reclaimed", &candidate.id, detail);
-        for unit in claim.units {
+        for unit in claim.victims {
             for (id, key) in snapshot.units.get(&unit).cloned().unwrap_or_default() {
                 self.stop_run(&id, key, now);
                 let Some(entry) = self.jobs.get_mut(&id) else { continue };
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use quincewheel_job::{Id, Need};
-use quincewheel_place::{Hold, Holder, Spot};
-use quincewheel_policy::{Guarantees, loss};
+use quincewheel_job::{Id, Resources};
+use quincewheel_place::{Preemptible, Protection, WorkerState};
+use quincewheel_policy::{Guarantees, preemption_loss};
 
 use crate::agent::Agent;
 use crate::entry::{Key, Phase};
@@ -16,9 +16,9 @@
 /// Workers, what is free on them, and what could be taken away.
 pub(crate) struct Snapshot {
     /// The workers that take work.
-    pub spots: Vec<Spot>,
+    pub spots: Vec<WorkerState>,
     /// What is truly free, reservations not taken away.
-    pub actual_free: Vec<Need>,
+    pub actual_free: Vec<Resources>,
     /// The runs of each unit that stops as a whole.
     pub units: BTreeMap<u64, Vec<(Id, Key)>>,
     /// Places at which something has just started.
@@ -48,12 +48,12 @@
 
 impl Snapshot {
     /// Hides workers that a step is not cleared for.
-    pub fn hide(&mut self, places: &[usize]) -> Vec<(usize, Spot)> {
+    pub fn hide(&mut self, places: &[usize]) -> Vec<(usize, WorkerState)> {
         places.iter().map(|&place| (place, std::mem::take(&mut self.spots[place]))).collect()
     }
 
     /// Shows again what [`Snapshot::hide`] took.
-    pub fn show(&mut self, hidden: Vec<(usize, Spot)>) {
+    pub fn show(&mut self, hidden: Vec<(usize, WorkerState)>) {
         for (place, spot) in hidden {
             self.spots[place] = spot;
         }
@@ -93,7 +93,7 @@
 impl Owner {
     /// The workers as they are.
     pub(crate) fn snapshot(&self, now: u64) -> Snapshot {
-        let mut spots: Vec<Spot> = Vec::new();
+        let mut spots: Vec<WorkerState> = Vec::new();
         let mut places: BTreeMap<&str, usize> = BTreeMap::new();
         for (name, agent) in &self.agents {
             let Some(worker) =
@@ -102,19 +102,19 @@
                 continue;
             };
             places.insert(name, spots.len());
-            spots.push(Spot {
+            spots.push(WorkerState {
                 name: name.clone(),
-                worker: worker.incarnation(),
+                incarnation: worker.incarnation(),
                 pool: worker.pool.clone(),
                 rack: worker.rack.clone(),
                 labels: worker.labels.clone(),
                 capacity: worker.capacity,
                 free: self.left_by_strays(agent, worker.capacity),
-                stopping: Need::default(),
-                ending: Need::default(),
-                doubtful: agent.doubted_until.max(agent.cold_until) > now
+                stopping: Resources::default(),
+                ending: Resources::default(),
+                deprioritized: agent.doubted_until.max(agent.cold_until) > now
                     || agent.silent_ms > self.settings.unresponsive_after / 2,
-                holders: Vec::new(),
+                preemptible: Vec::new(),
             });
         }
         let borrowed = self.borrowed();
@@ -126,30 +126,36 @@
                 let Some(step) = entry.step(*key) else { continue };
                 units.entry(placed.unit).or_default().push((id.clone(), *key));
                 let Some(&place) = places.get(placed.agent.as_str()) else { continue };
-                let need = step.charge();
-                spots[place].free.take(&need);
+                let need = step.resources();
+                spots[place].free.subtract(&need);
                 if let Some(started) = RecentStart::of(id, entry, *key, placed, now) {
                     started.record(&mut fresh, place);
                 }
                 let hold = match entry.job.queue.priority {
-                    0 if !borrowed.contains(&placed.unit) => Hold::Guaranteed,
-                    0 => Hold::Borrowed,
-                    _ => Hold::Lower,
+                    0 if !borrowed.contains(&placed.unit) => Protection::Guaranteed,
+                    0 => Protection::Borrowed,
+                    _ => Protection::Lower,
                 };
                 // One that gave its guaranteed room up once does not again: all would begin, and
                 // none end.
-                let yields =
-                    hold != Hold::Guaranteed || (entry.has_begun && !entry.guarantee_preempted);
+                let yields = hold != Protection::Guaranteed
+                    || (entry.has_begun && !entry.guarantee_preempted);
                 let ending = !step.perpetual && entry.unit_ends_soon(placed, &self.settings, now);
                 if ending {
-                    spots[place].ending.give(&need);
+                    spots[place].ending.add(&need);
                 }
                 if placed.phase == Phase::Stopping {
-                    spots[place].stopping.give(&need);
+                    spots[place].stopping.add(&need);
                 } else if yields && self.may_yield(id, *key, &mut taken) {
-                    let loss = loss(step, now.saturating_sub(placed.started_at));
+                    let loss = preemption_loss(step, now.saturating_sub(placed.started_at));
                     let unit = placed.unit;
-                    spots[place].holders.push(Holder { unit, need, hold, loss, ending });
+                    spots[place].preemptible.push(Preemptible {
+                        unit,
+                        need,
+                        protection: hold,
+                        loss,
+                        ending,
+                    });
                 }
             }
         }
@@ -160,12 +166,12 @@
     /// What runs that nobody waits for leave of a worker's capacity until their stops are
     /// through; nothing if it is not known what one of them takes. A worker that does not
     /// check for itself would be given more than it has.
-    fn left_by_strays(&self, agent: &Agent, capacity: Need) -> Need {
+    fn left_by_strays(&self, agent: &Agent, capacity: Resources) -> Resources {
         let mut left = capacity;
         for task in &agent.strays {
             let step = self.jobs.get(&task.job).and_then(|entry| entry.step(task_key(task)));
-            let Some(step) = step else { return Need::default() };
-            left.take(&step.charge());
+            let Some(step) = step else { return Resources::default() };
+            left.subtract(&step.resources());
         }
         left
     }
@@ -194,12 +200,12 @@
             }
         }
         let units = units.into_iter().map(|(unit, (team, need))| (unit, team, need));
-        self.guarantees().borrowed(units)
+        self.guarantees().borrowed_units(units)
     }
 
     /// What teams are guaranteed, of which nothing is taken.
     pub(crate) fn guarantees(&self) -> Guarantees<impl Fn(&str) -> u64> {
         let teams = &self.config.teams;
-        Guarantees::open(|team: &str| teams.get(team).map_or(0, |team| team.guaranteed))
+        Guarantees::new(|team: &str| teams.get(team).map_or(0, |team| team.guaranteed))
     }
 }
--- a/crates/dispatch/tests/evacuation.rs
+++ b/crates/dispatch/tests/evacuation.rs
@@ -14,7 +14,7 @@
 /// Returns an evacuation of these zones.
 fn evacuation_of(names: &[&str]) -> Evacuation {
     let mut zones = Evacuation::default();
-    names.iter().for_each(|name| zones.begin(name));
+    names.iter().for_each(|name| zones.add(name));
     zones
 }
 
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,19 +1,18 @@
-//! Where tasks go.
+//! Placement of tasks on workers.
 //!
-//! Pure functions over a picture of the workers: [`pack`] finds free places
-//! for the tasks of a step, [`reclaim`] finds the cheapest work to take away
-//! where there are none. Both keep workers and racks whole where they can,
-//! because scattered small tasks starve the gangs that need many accelerators
-//! side by side.
+//! Pure functions over a snapshot of the workers: [`pack`] places the tasks of a step in free
+//! capacity, [`plan_preemption`] finds the cheapest work to preempt where there is none. Both
+//! keep workers and racks whole where they can, because scattered small tasks starve the gangs
+//! that need many accelerators close together.
 
-mod ask;
-mod hold;
 mod pack;
-mod reclaim;
-mod spot;
+mod preemption;
+mod protection;
+mod request;
+mod worker_state;
 
-pub use ask::Ask;
-pub use hold::Hold;
-pub use pack::{Choice, pack};
-pub use reclaim::{Claim, reclaim};
-pub use spot::{Holder, Spot};
+pub use pack::{WorkerIndex, pack};
+pub use preemption::{Preemption, plan_preemption};
+pub use protection::Protection;
+pub use request::Request;
+pub use worker_state::{Preemptible, WorkerState};
--- a/crates/runner/src/incarnations.rs
+++ b/crates/runner/src/incarnations.rs
@@ -37,7 +37,7 @@
                 // An idle worker is not polled, so the owner would not learn of these changes.
                 let drains = session.worker.draining != worker.draining;
                 let cooled = session.worker.cold == 0 && worker.cold > 0;
-                let changed = drains || cooled || session.worker.fits_others(worker);
+                let changed = drains || cooled || session.worker.eligibility_differs(worker);
                 session.worker = worker.clone();
                 session.last_seen = now;
                 address.clone_into(&mut session.address);
@@ -50,8 +50,9 @@
             // heartbeat if the known one does not reply: a delayed heartbeat arrives once.
             Some(session) if session.verified && self.epoch > 0 => {
                 let candidate = self.candidate.as_ref();
-                let again =
-                    candidate.is_some_and(|candidate| candidate.worker.is(&worker.incarnation()));
+                let again = candidate.is_some_and(|candidate| {
+                    candidate.worker.is_incarnation(&worker.incarnation())
+                });
                 if again && now > session.last_seen + self.settings.heartbeat_timeout {
                     self.switch_session(now);
                     return self.send_due_calls(now);
@@ -103,7 +104,7 @@
     /// each does before a planned end.
     pub fn on_leave(&mut self, worker: &Incarnation, now: u64) {
         let ends = |known: &Worker| {
-            let meant = known.is(worker) || (worker.born == 0 && known.draining);
+            let meant = known.is_incarnation(worker) || (worker.born == 0 && known.draining);
             known.id == worker.id && meant
         };
         if let Some(candidate) = self.candidate.take_if(|candidate| ends(&candidate.worker)) {
@@ -131,7 +132,7 @@
             return;
         }
         let replied = Incarnation { id: session.worker.id.clone(), born };
-        self.candidate.take_if(|candidate| !candidate.worker.is(&replied));
+        self.candidate.take_if(|candidate| !candidate.worker.is_incarnation(&replied));
         self.switch_session(now);
     }
 
--- a/crates/runner/src/orders.rs
+++ b/crates/runner/src/orders.rs
@@ -12,7 +12,8 @@
     /// Forwards a change of pace to the worker. It is not retried, because the owner sends another
     /// while the worker's measurements are off target.
     pub(crate) fn on_pace(&mut self, worker: &Incarnation, task: Task, run: u64, percent: u32) {
-        let Some(session) = self.session.as_ref().filter(|session| session.worker.is(worker))
+        let Some(session) =
+            self.session.as_ref().filter(|session| session.worker.is_incarnation(worker))
         else {
             return;
         };
@@ -37,7 +38,7 @@
         // A worker that has sent no heartbeat yet may be up all the same; the owner sends the
         // order again once it has.
         let Some(session) = &mut self.session else { return };
-        if !session.worker.is(worker) {
+        if !session.worker.is_incarnation(worker) {
             return self.notify_owner(Notice::Unstarted { task, run, why: Refused::Leaving });
         }
         if session.orders.values().any(|pending| pending.is_start_of(&task, run)) {
@@ -46,7 +47,7 @@
         // Nothing new starts at a worker that leaves, whose availability zone is evacuated, or
         // that has no lease, whatever the owner knew when it sent the order. But if the order is a
         // repeated one, the first may have taken effect, so the run is stopped.
-        let evacuated = self.evacuation.covers(&session.worker.zone);
+        let evacuated = self.evacuation.contains(&session.worker.zone);
         let refused = session.worker.draining || evacuated || until.is_none();
         *lease_end = until.unwrap_or(0);
         let mut pending = Pending { may_take_effect: again, ..Pending::new(action) };
@@ -59,7 +60,8 @@
 
     /// Queues a stop for the worker.
     pub(crate) fn on_stop(&mut self, worker: &Incarnation, task: Task, run: u64) {
-        let Some(session) = self.session.as_mut().filter(|session| session.worker.is(worker))
+        let Some(session) =
+            self.session.as_mut().filter(|session| session.worker.is_incarnation(worker))
         else {
             return;
         };
@@ -171,7 +173,7 @@
     fn retry_order(&mut self, id: u64, now: u64) {
         let delay = self.settings.retry_delay;
         let Some(session) = &mut self.session else { return };
-        let evacuated = self.evacuation.covers(&session.worker.zone);
+        let evacuated = self.evacuation.contains(&session.worker.zone);
         let max_attempts = if evacuated { 1 } else { self.settings.max_start_attempts };
         let Some(pending) = session.orders.get_mut(&id) else { return };
         pending.attempts += 1;
--- a/crates/runner/src/session.rs
+++ b/crates/runner/src/session.rs
@@ -79,7 +79,7 @@
 
     /// True if the heartbeat is from this incarnation.
     pub fn is(&self, worker: &Worker) -> bool {
-        self.worker.is(&worker.incarnation())
+        self.worker.is_incarnation(&worker.incarnation())
     }
 
     /// The number up to which the next poll acknowledges ends; 0 if it acknowledges none.
--- a/crates/runner/tests/evacuation.rs
+++ b/crates/runner/tests/evacuation.rs
@@ -28,7 +28,7 @@
 
 fn zones(names: &[&str]) -> Evacuation {
     let mut zones = Evacuation::default();
-    names.iter().for_each(|name| zones.begin(name));
+    names.iter().for_each(|name| zones.add(name));
     zones
 }
 
--- a/crates/runner/tests/simulation/mod.rs
+++ b/crates/runner/tests/simulation/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use quincewheel_dispatch::{Output as OwnerOutput, Owner, Settings as OwnerSettings};
-use quincewheel_job::{Evacuation, How, Job, Need, Progress, Queue, Run, Step, Task, Worker};
+use quincewheel_job::{Evacuation, How, Job, Progress, Queue, Resources, Run, Step, Task, Worker};
 use quincewheel_runner::{Call, Fault, Heartbeat, Output, Runner, Settings};
 use quincewheel_wire::Order;
 
@@ -99,7 +99,7 @@
 
     /// True if the end of the job is recorded.
     pub fn has_ended(&self, name: &str) -> bool {
-        self.recorded.get(name).is_some_and(|progress| progress.state.ended())
+        self.recorded.get(name).is_some_and(|progress| progress.state.is_final())
     }
 
     /// Sends a heartbeat of a worker to its agent.
@@ -331,7 +331,7 @@
     Worker {
         id: format!("i{number}-{renames}"),
         pool: "p".into(),
-        capacity: Need { cpu: 64_000, memory: 262_144, accelerators: 8 },
+        capacity: Resources { cpu: 64_000, memory: 262_144, accelerators: 8 },
         rack: "r0".into(),
         ..Worker::default()
     }
@@ -348,7 +348,7 @@
 /// A job of one step with `count` tasks of one accelerator each.
 pub fn job(count: u32) -> Job {
     let queue = Queue { name: "q".into(), pool: "p".into(), attempts: 2, ..Queue::default() };
-    let need = Need { cpu: 1000, memory: 1000, accelerators: 1 };
+    let need = Resources { cpu: 1000, memory: 1000, accelerators: 1 };
     let step = Step { count, need, estimate: 1000, ..Step::default() };
     let spec = String::new();
     Job { team: "t".into(), queue, spec, steps: vec![step], schedule: None, accepted: START_MS }
--- a/crates/runner/tests/starts.rs
+++ b/crates/runner/tests/starts.rs
@@ -1,7 +1,7 @@
 //! Starts that get no reply, are repeated, or arrive late.
 
 use insta::assert_snapshot;
-use quincewheel_job::{End, Evacuation, How, Need, Run, Task, Worker};
+use quincewheel_job::{End, Evacuation, How, Resources, Run, Task, Worker};
 use quincewheel_runner::{Action, Call, Fault, Heartbeat, Output, Reply, Runner, Settings};
 use quincewheel_wire::{Notice, Order, Refused};
 
@@ -87,7 +87,7 @@
 }
 
 fn worker(draining: bool) -> Worker {
-    let capacity = Need { cpu: 64_000, memory: 262_144, accelerators: 8 };
+    let capacity = Resources { cpu: 64_000, memory: 262_144, accelerators: 8 };
     Worker { id: "i1".into(), pool: "p".into(), capacity, draining, ..Worker::default() }
 }
 
@@ -270,7 +270,7 @@
 fn a_start_that_arrives_after_an_evacuation_order_is_refused() {
     let mut harness = Harness::new();
     let mut zones = Evacuation::default();
-    zones.begin("");
+    zones.add("");
     harness.order(Order::Evacuate { zones });
     harness.start(4);
     let in_evacuation = harness.take_lines();
