--- a/crates/agent/src/brain.rs
+++ b/crates/agent/src/brain.rs
@@ -108,11 +108,13 @@
 
     fn peer(&mut self, event: peer::Event<Frame>) {
         self.input(match event {
-            peer::Event::Linked { link, hello, dialled } => Input::Linked { link, hello, dialled },
-            peer::Event::Unlinked { link } => Input::Unlinked { link },
+            peer::Event::Linked { link, hello, dialled } => {
+                Input::Connected { link, hello, dialled }
+            }
+            peer::Event::Unlinked { link } => Input::Disconnected { link },
             peer::Event::Undialled { address, error } => {
                 log::info!(step = "dial", peer = address.as_str(); "{error}");
-                Input::Undialled { address }
+                Input::DialFailed { address }
             }
             peer::Event::Frame { link, frame } => Input::Frame { link, frame },
         });
@@ -124,7 +126,7 @@
             _ => None,
         };
         let row = row.and_then(|row| serde_json::from_str::<OwnerRow>(&row.value).ok());
-        self.input(Input::Owner(row.map(|row| (row.epoch, row.address))));
+        self.input(Input::OwnerRow(row.map(|row| (row.epoch, row.address))));
     }
 
     fn carry_out(&mut self, outputs: Vec<Output>) {
@@ -137,7 +139,7 @@
                 Output::Send { link, frame } => {
                     if !self.hub.ask(peer::Command::Send { link, frame }) {
                         // Frames must not be lost in the middle of a connection.
-                        self.input(Input::Unlinked { link });
+                        self.input(Input::Disconnected { link });
                     }
                 }
                 Output::Close { link, reason } => {
@@ -147,12 +149,12 @@
                     self.tasks.insert(task.attempt, task.clone());
                     self.endpoint.ask(Command::Run(task));
                 }
-                Output::Halt { attempt, grace } => {
+                Output::Stop { attempt, grace } => {
                     if let Some(task) = self.tasks.get(&attempt) {
                         self.endpoint.ask(Command::Halt(task.clone(), grace));
                     }
                 }
-                Output::Drop { attempt } => {
+                Output::Forget { attempt } => {
                     if let Some(task) = self.tasks.remove(&attempt) {
                         self.endpoint.ask(Command::Drop(task));
                     }
@@ -165,7 +167,7 @@
     fn read_owner(&mut self) {
         let read = Read { prefix: OWNER.to_owned(), after: String::new(), limit: 1 };
         if !self.service.call(0, Op::Read(read)) {
-            self.input(Input::Owner(None));
+            self.input(Input::OwnerRow(None));
         }
     }
 
@@ -179,9 +181,11 @@
     }
 
     fn publish(&self) {
-        self.status.attached.store(self.grantor.attached(), Ordering::Relaxed);
-        self.status.empty.store(self.grantor.empty(), Ordering::Relaxed);
-        self.status.granted.store(self.grantor.granted().count_ones().into(), Ordering::Relaxed);
-        self.status.configuration.store(self.grantor.configuration(), Ordering::Relaxed);
+        self.status.attached.store(self.grantor.has_owner(), Ordering::Relaxed);
+        self.status.empty.store(self.grantor.is_idle(), Ordering::Relaxed);
+        self.status
+            .granted
+            .store(self.grantor.granted_mask().count_ones().into(), Ordering::Relaxed);
+        self.status.configuration.store(self.grantor.configuration_version(), Ordering::Relaxed);
     }
 }
--- a/crates/agent/src/endpoint.rs
+++ b/crates/agent/src/endpoint.rs
@@ -148,7 +148,7 @@
                 let first =
                     if start { Some(caller.start(task, rank, accelerators).await) } else { None };
                 let end = caller.follow(attempt, rank, first.flatten()).await;
-                caller.inputs.send(Input::Endpoint { attempt, rank, end }).await;
+                caller.inputs.send(Input::RankEnded { attempt, rank, end }).await;
             });
         }
     }
@@ -255,7 +255,7 @@
             failures = if health.is_some() { 0 } else { failures + 1 };
             // An endpoint that does not answer takes no new work either.
             let leaving = health.map_or(failures >= 2, |health| health.leaving);
-            self.inputs.send(Input::Health { leaving }).await;
+            self.inputs.send(Input::EndpointHealth { leaving }).await;
             tokio::time::sleep(HEALTH).await;
         }
     }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -63,7 +63,7 @@
     let service = Service::spawn(&settings.platform, TABLE, stored, |_, result| result)?;
     let endpoint = Endpoint::spawn(&settings.endpoint, &settings.platform, inputs.clone())?;
     let status = Arc::new(Status::default());
-    let grantor = Grantor::open(grant::Settings {
+    let grantor = Grantor::new(grant::Settings {
         member: settings.member.clone(),
         seed: rand::random(),
         ..grant::Settings::default()
--- a/crates/grant/src/gang.rs
+++ b/crates/grant/src/gang.rs
@@ -32,13 +32,13 @@
             let watched: Vec<(String, String)> = watched.cloned().collect();
             for (worker, _) in &watched {
                 let heard = held.heard.entry(worker.clone()).or_insert(now);
-                if now.saturating_sub(*heard) >= self.settings.gang {
+                if now.saturating_sub(*heard) >= self.settings.gang_timeout {
                     *heard = now;
                     broken.push((*attempt, format!("member {worker} is silent")));
                 }
             }
             if now >= held.next_pulse {
-                held.next_pulse = now + self.settings.beat;
+                held.next_pulse = now + self.settings.heartbeat_interval;
                 due.extend(watched.into_iter().map(|(w, address)| (*attempt, w, address)));
             }
         }
--- a/crates/grant/src/grantor.rs
+++ b/crates/grant/src/grantor.rs
@@ -50,10 +50,10 @@
 
 impl Grantor {
     /// A grantor that holds nothing and obeys nobody yet.
-    pub fn open(settings: Settings) -> Grantor {
+    pub fn new(settings: Settings) -> Grantor {
         let rng = StdRng::seed_from_u64(settings.seed);
         Grantor {
-            pause: settings.seek,
+            pause: settings.owner_poll_interval,
             rng,
             settings,
             now: Duration::ZERO,
@@ -82,14 +82,14 @@
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         self.now = now;
         match input {
-            Input::Owner(row) => self.on_owner(row),
+            Input::OwnerRow(row) => self.on_owner(row),
             Input::Recovered(tasks) => self.recover(tasks),
-            Input::Linked { link, hello, dialled } => self.linked(link, &hello, &dialled),
-            Input::Unlinked { link } => self.unlinked(link),
-            Input::Undialled { address } => drop(self.dialling.remove(&address)),
+            Input::Connected { link, hello, dialled } => self.linked(link, &hello, &dialled),
+            Input::Disconnected { link } => self.unlinked(link),
+            Input::DialFailed { address } => drop(self.dialling.remove(&address)),
             Input::Frame { link, frame } => self.frame(link, frame),
-            Input::Endpoint { attempt, rank, end } => self.on_end(attempt, rank, end),
-            Input::Health { leaving } => self.set_leaving(leaving || self.draining),
+            Input::RankEnded { attempt, rank, end } => self.on_end(attempt, rank, end),
+            Input::EndpointHealth { leaving } => self.set_leaving(leaving || self.draining),
             Input::Drain => {
                 self.draining = true;
                 self.set_leaving(true);
@@ -102,11 +102,11 @@
     pub fn tick(&mut self, now: Duration) -> Vec<Output> {
         self.now = now;
         if let Some(owner) = self.owner {
-            if now.saturating_sub(self.heard) >= self.settings.silence {
+            if now.saturating_sub(self.heard) >= self.settings.owner_timeout {
                 self.out.push(Output::Close { link: owner, reason: "owner silent" });
                 self.unlinked(owner);
             } else if now >= self.next_beat {
-                self.next_beat = now + self.settings.beat;
+                self.next_beat = now + self.settings.heartbeat_interval;
                 let frame = Frame::Beat { epoch: self.epoch, configuration: self.configuration };
                 self.send(owner, frame);
             }
@@ -127,22 +127,22 @@
     }
 
     /// True once a drain may end: nothing runs and nothing awaits its record.
-    pub fn empty(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.held.is_empty()
     }
 
     /// True if an owner is connected.
-    pub fn attached(&self) -> bool {
+    pub fn has_owner(&self) -> bool {
         self.owner.is_some()
     }
 
     /// The configuration in force here.
-    pub fn configuration(&self) -> u64 {
+    pub fn configuration_version(&self) -> u64 {
         self.configuration
     }
 
     /// Accelerators that are granted now.
-    pub fn granted(&self) -> u64 {
+    pub fn granted_mask(&self) -> u64 {
         let live = self.held.values().filter(|held| held.live());
         live.fold(0, |mask, held| mask | held.task.mask())
     }
@@ -164,10 +164,10 @@
         let Some((epoch, address)) = row else {
             // The table is down. When it is back it must not be met by all
             // agents at once: a fleet of thousands would exceed what it takes.
-            self.pause = (self.pause * 2).min(self.settings.seek_most);
+            self.pause = (self.pause * 2).min(self.settings.max_owner_poll_interval);
             return;
         };
-        self.pause = self.settings.seek;
+        self.pause = self.settings.owner_poll_interval;
         if epoch < self.epoch || self.owner.is_some() || !self.recovered {
             return;
         }
@@ -221,7 +221,7 @@
             self.owner = None;
             // A process that is no longer the owner closes at once: without a
             // pause the agent would come back as fast as it can connect.
-            self.next_seek = self.now + self.settings.seek;
+            self.next_seek = self.now + self.settings.owner_poll_interval;
         }
     }
 
@@ -324,14 +324,14 @@
             "the worker is leaving"
         } else if self.drained {
             "the worker is drained"
-        } else if self.granted() & task.mask() != 0 {
+        } else if self.granted_mask() & task.mask() != 0 {
             "accelerators are held by another attempt"
         } else {
             let mask = task.mask();
             let worker = self.worker().to_owned();
             self.event(Kind::Granted { worker, attempt: attempt.0, mask });
             let mut held = Held::new(task, State::Prepared, self.now);
-            held.repeat = self.now + self.settings.repeat;
+            held.repeat = self.now + self.settings.retry_interval;
             self.held.insert(attempt, held);
             self.send(link, Frame::Prepared { attempt });
             return;
@@ -392,18 +392,18 @@
 
     /// Stops a running attempt at the endpoint.
     pub(crate) fn halt(&mut self, attempt: Attempt, grace: Duration, reason: &str) {
-        let kill = self.now + grace + self.settings.kill;
+        let kill = self.now + grace + self.settings.kill_delay;
         let Some(held) = self.held.get_mut(&attempt) else { return };
         if held.state == State::Running {
             held.state = State::Stopping { reason: reason.to_owned(), kill };
-            self.out.push(Output::Halt { attempt, grace });
+            self.out.push(Output::Stop { attempt, grace });
         }
     }
 
     /// Stops hard what does not stop by itself.
     fn watch_stops(&mut self) {
         let now = self.now;
-        let again = now + self.settings.kill;
+        let again = now + self.settings.kill_delay;
         let mut late = Vec::new();
         for (attempt, held) in &mut self.held {
             if let State::Stopping { kill, .. } = &mut held.state
@@ -414,7 +414,7 @@
             }
         }
         for attempt in late {
-            self.out.push(Output::Halt { attempt, grace: Duration::ZERO });
+            self.out.push(Output::Stop { attempt, grace: Duration::ZERO });
         }
     }
 
@@ -434,7 +434,7 @@
 
     /// Notes how this worker's part ended and tells the owner and the gang.
     fn end(&mut self, attempt: Attempt, report: Report) {
-        let repeat = self.now + self.settings.repeat;
+        let repeat = self.now + self.settings.retry_interval;
         let Some(held) = self.held.get_mut(&attempt) else { return };
         let ran = held.state != State::Prepared;
         held.state = State::Ended(report.clone());
@@ -457,7 +457,7 @@
         if self.held.get(&attempt).is_some_and(|held| !held.live()) {
             self.held.remove(&attempt);
             self.spend(attempt);
-            self.out.push(Output::Drop { attempt });
+            self.out.push(Output::Forget { attempt });
         }
     }
 
@@ -473,7 +473,7 @@
     fn repeat(&mut self) {
         let Some(owner) = self.owner else { return };
         let now = self.now;
-        let next = now + self.settings.repeat;
+        let next = now + self.settings.retry_interval;
         let mut frames = Vec::new();
         for (attempt, held) in &mut self.held {
             if now < held.repeat {
--- a/crates/grant/src/input.rs
+++ b/crates/grant/src/input.rs
@@ -4,11 +4,11 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The ownership row, as read from the table; `None` if the read failed.
-    Owner(Option<(u64, String)>),
+    OwnerRow(Option<(u64, String)>),
     /// Tasks that the endpoint already runs, as after a restart of the agent.
     Recovered(Vec<Task>),
     /// A connection was authenticated.
-    Linked {
+    Connected {
         /// Names it within this process.
         link: LinkId,
         /// Who is at the other end.
@@ -17,12 +17,12 @@
         dialled: String,
     },
     /// A connection is gone.
-    Unlinked {
+    Disconnected {
         /// The connection.
         link: LinkId,
     },
     /// A dial did not succeed.
-    Undialled {
+    DialFailed {
         /// The address.
         address: String,
     },
@@ -34,7 +34,7 @@
         frame: Frame,
     },
     /// The endpoint's part of an attempt ended.
-    Endpoint {
+    RankEnded {
         /// The attempt.
         attempt: Attempt,
         /// The task's rank.
@@ -43,7 +43,7 @@
         end: End,
     },
     /// What the endpoint says of itself.
-    Health {
+    EndpointHealth {
         /// It takes no new work.
         leaving: bool,
     },
--- a/crates/grant/src/output.rs
+++ b/crates/grant/src/output.rs
@@ -33,14 +33,14 @@
         task: Task,
     },
     /// Have the endpoint stop all ranks of an attempt.
-    Halt {
+    Stop {
         /// The attempt.
         attempt: Attempt,
         /// Time to checkpoint first.
         grace: Duration,
     },
     /// The endpoint may drop what it keeps of an attempt.
-    Drop {
+    Forget {
         /// The attempt.
         attempt: Attempt,
     },
--- a/crates/grant/tests/fencing.rs
+++ b/crates/grant/tests/fencing.rs
@@ -25,11 +25,11 @@
 
 fn attached() -> Grantor {
     let member = Member { worker: "worker".to_owned(), accelerators: 8, ..Member::default() };
-    let mut grantor = Grantor::open(Settings { member, ..Settings::default() });
+    let mut grantor = Grantor::new(Settings { member, ..Settings::default() });
     grantor.handle(NOW, Input::Recovered(Vec::new()));
-    grantor.handle(NOW, Input::Owner(Some((5, "e".to_owned()))));
+    grantor.handle(NOW, Input::OwnerRow(Some((5, "e".to_owned()))));
     let hello = Hello { role: Role::Entry, name: "entry".to_owned(), incarnation: 1 };
-    grantor.handle(NOW, Input::Linked { link: 1, hello, dialled: "e".to_owned() });
+    grantor.handle(NOW, Input::Connected { link: 1, hello, dialled: "e".to_owned() });
     grantor
 }
 
@@ -39,7 +39,7 @@
         Output::Send { frame, .. } => frame.name(),
         Output::Close { .. } => "close",
         Output::Run { .. } => "run",
-        Output::Halt { .. } => "halt",
+        Output::Stop { .. } => "halt",
         _ => "other",
     };
     let names = outputs.iter().filter(|output| !matches!(output, Output::Event(_))).map(name);
@@ -64,7 +64,7 @@
         frame(&mut grantor, Frame::Prepare { epoch: 5, task: task(attempt) });
         let name = late.name();
         lines.push(format!("{name}: {}", frame(&mut grantor, late)));
-        assert_eq!(grantor.granted(), 1, "the present owner's grant stands");
+        assert_eq!(grantor.granted_mask(), 1, "the present owner's grant stands");
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
     prepare: fenced close
@@ -79,15 +79,15 @@
 /// Cause: an empty memory knows no epoch.
 #[test]
 fn an_agent_that_has_not_read_the_row_obeys_nobody() {
-    let mut grantor = Grantor::open(Settings::default());
+    let mut grantor = Grantor::new(Settings::default());
     grantor.handle(NOW, Input::Recovered(Vec::new()));
     let hello = Hello { role: Role::Entry, name: "entry".to_owned(), incarnation: 1 };
-    let linked = Input::Linked { link: 1, hello, dialled: String::new() };
+    let linked = Input::Connected { link: 1, hello, dialled: String::new() };
     let outputs = grantor.handle(NOW, linked);
     assert!(outputs.iter().any(|output| matches!(output, Output::Close { .. })), "{outputs:?}");
     let prepare = Frame::Prepare { epoch: 9, task: task(Attempt::new(9, 1)) };
     assert_eq!(frame(&mut grantor, prepare), "");
-    assert_eq!(grantor.granted(), 0);
+    assert_eq!(grantor.granted_mask(), 0);
 }
 
 /// Symptom: a task starts twice at its worker. Sequence: prepare and go come
@@ -132,5 +132,5 @@
         frame(&mut grantor, Frame::Prepare { epoch: 5, task: other }),
     ];
     assert_eq!(names, ["prepared", "declined announce"]);
-    assert_eq!(grantor.granted(), 1);
+    assert_eq!(grantor.granted_mask(), 1);
 }
--- a/tests/bed/delivery.rs
+++ b/tests/bed/delivery.rs
@@ -49,7 +49,7 @@
             self.serve_table(pending.to, pending.incarnation, id, &op);
             return;
         }
-        if let (Who::Agent(at), Delivery::Agent(input @ grant::Input::Endpoint { .. })) =
+        if let (Who::Agent(at), Delivery::Agent(input @ grant::Input::RankEnded { .. })) =
             (pending.to, &pending.delivery)
             && self.workers[at].grantor.is_none()
         {
@@ -109,7 +109,7 @@
         let grantor = self.workers[at].grantor.as_mut().expect("checked by the caller");
         let outputs = match delivery {
             Delivery::Agent(input) => {
-                if let grant::Input::Endpoint { attempt, .. } = &input {
+                if let grant::Input::RankEnded { attempt, .. } = &input {
                     let task = self.workers[at].tasks.get(attempt);
                     if task.is_none() {
                         return;
@@ -143,8 +143,8 @@
             grant::Output::Send { link, frame } => self.send(me, link, frame),
             grant::Output::Close { link, .. } => self.close(link, Some(me)),
             grant::Output::Run { task } => self.run_task(at, task),
-            grant::Output::Halt { attempt, grace } => self.halt_task(at, attempt, grace),
-            grant::Output::Drop { .. } => {}
+            grant::Output::Stop { attempt, grace } => self.halt_task(at, attempt, grace),
+            grant::Output::Forget { .. } => {}
             grant::Output::Event(kind) => {
                 let name = format!("worker-{at}.{}", self.workers[at].incarnation);
                 self.note(&name, kind);
--- a/tests/bed/endpoint.rs
+++ b/tests/bed/endpoint.rs
@@ -48,7 +48,7 @@
         rank: u32,
         end: End,
     ) {
-        let input = grant::Input::Endpoint { attempt, rank, end };
+        let input = grant::Input::RankEnded { attempt, rank, end };
         self.push(delay, Who::Agent(at), Delivery::Agent(input), None);
         if let Some(pending) = self.queue.get_mut(&(self.now + delay, self.next)) {
             pending.incarnation = ANY;
@@ -61,7 +61,7 @@
     now: Duration,
     input: grant::Input,
 ) -> Vec<grant::Output> {
-    if let grant::Input::Endpoint { attempt, rank, .. } = &input
+    if let grant::Input::RankEnded { attempt, rank, .. } = &input
         && let Some(task) = worker.tasks.get_mut(attempt)
     {
         // A rank ends once, however often the fake says so.
--- a/tests/bed/links.rs
+++ b/tests/bed/links.rs
@@ -54,7 +54,7 @@
             let address = address.to_owned();
             let delivery = match from {
                 Who::Entry(_) => Delivery::Entry(shard::Input::Undialled { address }),
-                Who::Agent(_) => Delivery::Agent(grant::Input::Undialled { address }),
+                Who::Agent(_) => Delivery::Agent(grant::Input::DialFailed { address }),
             };
             self.push(secs(1), from, delivery, None);
             return;
@@ -74,7 +74,7 @@
         let hello = Hello { role, name: label(other), incarnation: self.incarnation(other) };
         let delivery = match at {
             Who::Entry(_) => Delivery::Entry(shard::Input::Linked { link, hello, dialled }),
-            Who::Agent(_) => Delivery::Agent(grant::Input::Linked { link, hello, dialled }),
+            Who::Agent(_) => Delivery::Agent(grant::Input::Connected { link, hello, dialled }),
         };
         self.push(DELAY, at, delivery, Some(link));
     }
@@ -87,7 +87,7 @@
             }
             let delivery = match end {
                 Who::Entry(_) => Delivery::Entry(shard::Input::Unlinked { link }),
-                Who::Agent(_) => Delivery::Agent(grant::Input::Unlinked { link }),
+                Who::Agent(_) => Delivery::Agent(grant::Input::Disconnected { link }),
             };
             self.push(DELAY, end, delivery, None);
         }
--- a/tests/bed/table.rs
+++ b/tests/bed/table.rs
@@ -59,7 +59,7 @@
         };
         let delivery = match from {
             Who::Entry(_) => Delivery::Entry(shard::Input::Store { id, result }),
-            Who::Agent(_) => Delivery::Agent(grant::Input::Owner(owner_of(&result))),
+            Who::Agent(_) => Delivery::Agent(grant::Input::OwnerRow(owner_of(&result))),
         };
         self.push(delay, from, delivery, None);
         if let Some(pending) = self.queue.get_mut(&(self.now + delay, self.next)) {
--- a/tests/bed/views.rs
+++ b/tests/bed/views.rs
@@ -55,7 +55,7 @@
         let nodes = self.entries.iter().filter_map(|entry| entry.node.as_ref());
         let grantors = self.workers.iter().filter_map(|worker| worker.grantor.as_ref());
         nodes.map(|node| node.config().version()).all(|v| v == version)
-            && grantors.map(Grantor::configuration).all(|v| v == version)
+            && grantors.map(Grantor::configuration_version).all(|v| v == version)
     }
 
     /// Conditions of all workers, as the owner sees them.
--- a/tests/bed/world.rs
+++ b/tests/bed/world.rs
@@ -176,7 +176,7 @@
                 };
                 let seed = at as u64;
                 let settings = grant::Settings { member, seed, ..grant::Settings::default() };
-                worker.grantor = Some(Grantor::open(settings));
+                worker.grantor = Some(Grantor::new(settings));
                 let tasks = worker.tasks.values().cloned().collect();
                 let missed = std::mem::take(&mut worker.missed);
                 self.push(DELAY, who, Delivery::Agent(grant::Input::Recovered(tasks)), None);
@@ -302,7 +302,7 @@
 
     /// The endpoint says that it is leaving.
     pub fn leave(&mut self, at: usize) {
-        let input = grant::Input::Health { leaving: true };
+        let input = grant::Input::EndpointHealth { leaving: true };
         self.push(DELAY, Who::Agent(at), Delivery::Agent(input), None);
     }
 
--- a/tests/guarantees.rs
+++ b/tests/guarantees.rs
@@ -22,7 +22,7 @@
         world.submit(at, &borrowed);
     }
     world.run(secs(2)).await;
-    assert_eq!((0..4).map(|a| world.grantor(a).granted().count_ones()).sum::<u32>(), 32);
+    assert_eq!((0..4).map(|a| world.grantor(a).granted_mask().count_ones()).sum::<u32>(), 32);
     world
 }
 
@@ -76,7 +76,7 @@
     world.submit(at, &Job { shape, ..job("claim", false, ms(100)) });
     world.run(secs(20)).await;
     world.check("work that gave way");
-    let granted: u32 = (0..4).map(|a| world.grantor(a).granted().count_ones()).sum();
+    let granted: u32 = (0..4).map(|a| world.grantor(a).granted_mask().count_ones()).sum();
     assert_eq!(granted, 32, "the pool is full again");
 }
 
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -15,7 +15,7 @@
     let screen = world.submit(at, &job("screen", true, secs(3)));
     world.run(secs(1)).await;
     for agent in 0..3 {
-        if world.grantor(agent).granted() != 0 {
+        if world.grantor(agent).granted_mask() != 0 {
             world.freeze(Who::Agent(agent));
         }
     }
@@ -175,7 +175,7 @@
         }
         let busy = world.submit(at, &job("busy", false, secs(5)));
         world.run(secs(1)).await;
-        let leaver = (0..2).find(|agent| world.grantor(*agent).granted() != 0).unwrap();
+        let leaver = (0..2).find(|agent| world.grantor(*agent).granted_mask() != 0).unwrap();
         world.leave(leaver);
         let left = world.now;
         let mut calls = Vec::new();
@@ -215,7 +215,7 @@
         world.drain(Who::Agent(agent));
         world.run(ms(2)).await;
         let began = world.now;
-        while !world.grantor(agent).empty() {
+        while !world.grantor(agent).is_idle() {
             world.run(ms(10)).await;
             assert!(world.now - began < secs(10), "agent {agent}: the drain does not end");
         }
