--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -33,7 +33,7 @@
         Ok(launched) => launched,
         Err(code) => return code,
     };
-    if let Some(path) = quincewheel_platform::path().filter(|_| command == "serve") {
+    if let Some(path) = quincewheel_platform::settings_path().filter(|_| command == "serve") {
         return match Own::resolve(&values) {
             Err(errors) => PROGRAM.refuse(&errors),
             Ok(own) => PROGRAM.end(site::serve(&path, &own)),
--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -19,7 +19,7 @@
 use quincewheel_http::{Body, Reply, Request, Server};
 use quincewheel_log::Limit;
 use quincewheel_peer::{Command, Event, Hub};
-use quincewheel_platform::{self as platform, Bounds, Report, Skipped, Table};
+use quincewheel_platform::{self as platform, Bounds, Report, SkippedEntry, Table};
 use quincewheel_ring as ring;
 use quincewheel_runner::{Announcement, Heartbeat, Output, Runner, Settings};
 use quincewheel_store::Error;
@@ -49,7 +49,7 @@
 struct Agent {
     runner: RefCell<Runner>,
     hub: Hub<Notice>,
-    worker: platform::Caller,
+    worker: platform::WorkerClient,
     metrics: Arc<Metrics>,
     health: Health,
     started: Started,
@@ -60,8 +60,8 @@
 
 /// Serves until the process is told to end.
 pub(crate) fn serve(settings: &Path, own: &Own) -> io::Result<()> {
-    let site = platform::read(settings).map_err(io::Error::other)?;
-    let Some(side) = site.side.clone() else {
+    let site = platform::read_settings(settings).map_err(io::Error::other)?;
+    let Some(side) = site.agent.clone() else {
         return Err(io::Error::other("the settings name no address for a worker's reports"));
     };
     quincewheel_log::open_lines(&site.name, own.log_level).map_err(io::Error::other)?;
@@ -69,15 +69,15 @@
     let (peers, peers_in) = ring::open::<Event<Order>>(PEERS);
     let hello = Hello { role: Role::Agent, name: site.name.clone(), incarnation: rand::random() };
     let key = Key::new(own.fleet_key.as_bytes());
-    let hub: Hub<Notice> =
-        Hub::bind(&site.peers, key, hello, peers, |event| event).map_err(io::Error::other)?;
+    let hub: Hub<Notice> = Hub::bind(&site.peer_address, key, hello, peers, |event| event)
+        .map_err(io::Error::other)?;
     let metrics = Arc::new(Metrics::open());
     let shown = Arc::clone(&metrics);
     let metrics_address = format!("{}:{}", site.ip, own.metrics_port);
     Server::bind_all("reports", &[&side.reports, &metrics_address], move |request| {
         take(request, reports.clone(), Arc::clone(&shown))
     })?;
-    log::info!(event = "start", zone = site.zone.as_str(), peers = site.peers.as_str(); "agent");
+    log::info!(event = "start", zone = site.zone.as_str(), peers = site.peer_address.as_str(); "agent");
     let path = settings.to_owned();
     let runtime = actix_rt::Runtime::new()?;
     runtime.block_on(async move {
@@ -85,7 +85,7 @@
         let agent = Rc::new(Agent {
             runner: RefCell::new(Runner::open(settings)),
             hub,
-            worker: platform::Caller::open(),
+            worker: platform::WorkerClient::build(),
             metrics,
             health: Health::default(),
             started: Started::default(),
@@ -114,7 +114,7 @@
 /// Takes in the settings file as it is now. Addresses stay as they were until the
 /// next start.
 fn reload(agent: &Agent, path: &Path, grace: &Cell<u64>) {
-    match platform::read(path) {
+    match platform::read_settings(path) {
         Ok(read) => {
             log::info!(event = "reload"; "{:?}", read.bounds);
             grace.set(read.bounds.grace);
@@ -135,7 +135,7 @@
     let Body::Whole(body) = quincewheel_http::read(&mut request, MAX_REPORT).await else {
         return quincewheel_http::reply(413, "application/json", "{}");
     };
-    let status = match platform::report(&method, &path, &body) {
+    let status = match platform::decode_report(&method, &path, &body) {
         None => 404,
         Some(Err(detail)) => {
             metrics.left_out(&detail, quincewheel_clock::boot());
@@ -152,16 +152,16 @@
 /// Writes where this agent is, so that owners find it: once its worker has
 /// reported, and again while it reports and no owner speaks to this agent. An
 /// owner drops the row of an agent that it could not reach for long.
-async fn announce(agent: Rc<Agent>, site: platform::Site) {
-    let node = Node { address: site.peers.clone(), ..Node::default() };
+async fn announce(agent: Rc<Agent>, site: platform::Settings) {
+    let node = Node { address: site.peer_address.clone(), ..Node::default() };
     let commit = rows::announcement(&site.name, &node);
     let limit = Limit::default();
-    let skip = move |Skipped { list, detail }| {
+    let skip = move |SkippedEntry { list, detail }| {
         if let Some(held) = limit.pass(quincewheel_clock::boot()) {
             log::warn!(event = "entry left out", list = list, untold = held; "{detail}");
         }
     };
-    let table = Table::open(&site.table, Rc::new(skip));
+    let table = Table::new(&site.table_address, Rc::new(skip));
     let failed = |error: &Error| log::warn!(event = "table"; "{error}");
     let mut announcement = Announcement::open();
     loop {
@@ -175,7 +175,7 @@
                 let _ = tokio::time::timeout(wait, agent.reported.notified()).await;
             }
             Some(_) => {
-                table.insist(&commit, TIMEOUT, failed).await;
+                table.commit_with_retry(&commit, TIMEOUT, failed).await;
                 announcement.on_written(incarnations);
             }
         }
@@ -186,7 +186,7 @@
     while let Some(report) = reports.recv().await {
         let now = quincewheel_clock::boot();
         match report {
-            Report::Beat { worker, address, clock, number } => {
+            Report::Heartbeat { worker, address, clock, number } => {
                 agent.started.note(&worker);
                 let heartbeat = Heartbeat { worker: &worker, address: &address, clock, number };
                 agent.runner.borrow_mut().on_heartbeat(&heartbeat, now);
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -64,7 +64,7 @@
             Err(errors) => PROGRAM.refuse(&errors),
         };
     }
-    if let Some(path) = quincewheel_platform::path().filter(|_| command == "serve") {
+    if let Some(path) = quincewheel_platform::settings_path().filter(|_| command == "serve") {
         return match Own::resolve(&values) {
             Err(errors) => PROGRAM.refuse(&errors),
             Ok(own) => PROGRAM.end(site::serve(&path, &own)),
@@ -82,8 +82,8 @@
 
 /// Prints the times that the platform's settings file sets, if there is one.
 fn check_platform() -> ExitCode {
-    let Some(path) = quincewheel_platform::path() else { return ExitCode::SUCCESS };
-    match quincewheel_platform::read(&path) {
+    let Some(path) = quincewheel_platform::settings_path() else { return ExitCode::SUCCESS };
+    match quincewheel_platform::read_settings(&path) {
         Ok(site) => {
             println!("platform: {:?}", site.bounds);
             ExitCode::SUCCESS
--- a/crates/entry/src/site.rs
+++ b/crates/entry/src/site.rs
@@ -53,7 +53,7 @@
 
 /// Serves until the process is told to end.
 pub(crate) fn serve(settings: &Path, own: &Own) -> io::Result<()> {
-    let site = platform::read(settings).map_err(io::Error::other)?;
+    let site = platform::read_settings(settings).map_err(io::Error::other)?;
     let Some(entry) = site.entry.clone() else {
         return Err(io::Error::other(
             "the settings name no address for clients; run the agent here",
@@ -65,18 +65,18 @@
     let (peers, peers_in) = ring::open::<Event<Notice>>(PEERS);
     let hello = Hello { role: Role::Entry, name: site.name.clone(), incarnation };
     let key = Key::new(own.fleet_key.as_bytes());
-    let hub: Hub<Sent> =
-        Hub::bind(&site.peers, key, hello, peers, |event| event).map_err(io::Error::other)?;
+    let hub: Hub<Sent> = Hub::bind(&site.peer_address, key, hello, peers, |event| event)
+        .map_err(io::Error::other)?;
     let gate = Arc::new(Gate::default());
     let entrance = Arc::clone(&gate);
     let metrics = Arc::new(Metrics::open());
     let shown = Arc::clone(&metrics);
     let metrics_address = format!("{}:{}", site.ip, own.metrics_port);
-    let addresses = [&entry.callers, &entry.ready, &metrics_address].map(String::as_str);
+    let addresses = [&entry.clients, &entry.ready, &metrics_address].map(String::as_str);
     Server::bind_all("callers", &addresses, move |request| {
         take(request, work.clone(), Arc::clone(&entrance), Arc::clone(&shown))
     })?;
-    log::info!(event = "start", zone = site.zone.as_str(), peers = site.peers.as_str(); "entry");
+    log::info!(event = "start", zone = site.zone.as_str(), peers = site.peer_address.as_str(); "entry");
     let path = settings.to_owned();
     let runtime = actix_rt::Runtime::new()?;
     runtime.block_on(async move {
@@ -108,7 +108,7 @@
     if request.path() == quincewheel_http::METRICS {
         return quincewheel_http::metrics(metrics.page());
     }
-    if request.path() == platform::READY {
+    if request.path() == platform::READY_PATH {
         let status = if gate.ready() { 200 } else { 503 };
         return quincewheel_http::reply(status, "text/plain", "");
     }
--- a/crates/entry/src/site/advise.rs
+++ b/crates/entry/src/site/advise.rs
@@ -14,8 +14,8 @@
 
 /// Carries the owner's questions to the service for ever.
 pub(crate) async fn run(shared: Shared) {
-    let address = shared.settings.advice.as_deref().unwrap_or_default();
-    let advisor = Advisor::open(address, Rc::clone(&shared.skip));
+    let address = shared.settings.advisor_address.as_deref().unwrap_or_default();
+    let advisor = Advisor::new(address, Rc::clone(&shared.skip));
     loop {
         let question = shared.question.borrow_mut().take();
         match question {
@@ -29,14 +29,14 @@
     let sent = quincewheel_clock::boot();
     let step_name = (question.job.as_str(), question.occurrence, question.step);
     let workers: Vec<&str> = question.workers.iter().map(|worker| worker.id.as_str()).collect();
-    let answer = advisor.ask(step_name, &workers, timeout(shared, question)).await;
+    let answer = advisor.request_clearance(step_name, &workers, timeout(shared, question)).await;
     let now = quincewheel_clock::boot();
     if let Err(error) = &answer {
         log::warn!(event = "advice", job = question.job.as_str(), ms = now - sent; "{error}");
     }
     if let Some(owner) = shared.owner.borrow_mut().as_mut() {
         let answer = answer.as_ref().ok();
-        let told = answer.map(|cleared| (cleared.tickets.as_slice(), cleared.valid));
+        let told = answer.map(|cleared| (cleared.tickets.as_slice(), cleared.valid_ms));
         owner.on_clearance(question, told, sent, now);
     }
     step(shared);
--- a/crates/entry/src/site/calls.rs
+++ b/crates/entry/src/site/calls.rs
@@ -195,7 +195,7 @@
 /// and the client is told so at once instead of being held.
 async fn write(shared: &Site, commit: &Commit) -> Result<u64, Error> {
     if shared.is_table_lost() {
-        let (step, peer) = ("commit", shared.settings.table.clone());
+        let (step, peer) = ("commit", shared.settings.table_address.clone());
         let detail = "not sent: the table does not answer".to_owned();
         return Err(Error::Refused { step, peer, detail });
     }
@@ -290,7 +290,7 @@
 /// Reads a job's rows.
 pub(crate) async fn look(shared: &Site, id: &str) -> Result<Option<JobView>, Error> {
     if shared.is_table_lost() {
-        let (step, peer) = ("read", shared.settings.table.clone());
+        let (step, peer) = ("read", shared.settings.table_address.clone());
         let detail = "not sent: the table does not answer".to_owned();
         return Err(Error::Refused { step, peer, detail });
     }
@@ -298,7 +298,7 @@
     for key in [rows::job_key(id), rows::progress_key(id), rows::cancellation_key(id)] {
         let part = rows::part_of(&key);
         let read = Read { prefix: key, after: String::new(), limit: 1 };
-        let (page, _) = shared.table.read(Space::Own, part, &read, TIMEOUT).await?;
+        let (page, _) = shared.table.read(Space::System, part, &read, TIMEOUT).await?;
         for row in page.rows {
             let (key, version) = (row.key, row.version);
             found.apply(&Change { key, version, value: Some(row.value) });
--- a/crates/entry/src/site/evacuation.rs
+++ b/crates/entry/src/site/evacuation.rs
@@ -10,7 +10,7 @@
     let known = shared.evacuation.borrow().clone();
     let former = known.clone().unwrap_or_default();
     let begin = if whole { Default::default() } else { former.clone() };
-    let zones = platform::evacuation(begin, rows, &*shared.skip);
+    let zones = platform::apply_evacuation_rows(begin, rows, &*shared.skip);
     if known.as_ref() == Some(&zones) {
         return;
     }
--- a/crates/entry/src/site/follow.rs
+++ b/crates/entry/src/site/follow.rs
@@ -4,7 +4,7 @@
 
 use futures_util::stream::{self, StreamExt, TryStreamExt};
 use quincewheel_dispatch::{Mirror, Owner, RowEvent, rows};
-use quincewheel_platform::{self as platform, Skipped, Space, Table};
+use quincewheel_platform::{self as platform, SkippedEntry, Space, Table};
 use quincewheel_store::{Change, Changes, Error, Read, scan};
 
 use super::evacuation;
@@ -49,7 +49,7 @@
             Some(after) => {
                 // A call that waits and is lost is missed only after its wait.
                 let wait = if calm { wait(&shared, config_wait(&shared)) } else { Duration::ZERO };
-                shared.feed.follow(Space::Operator, after, wait, TIMEOUT).await
+                shared.feed.wait_for_changes(Space::Operator, after, wait, TIMEOUT).await
             }
         };
         calm = result.is_ok();
@@ -89,7 +89,7 @@
 
 fn configure(shared: &Site, change: &Change) {
     let Some(value) = &change.value else { return };
-    match platform::wave(&change.key, value, &*shared.skip) {
+    match platform::decode_wave(&change.key, value, &*shared.skip) {
         None => {}
         Some(Err(detail)) => unreadable(shared, &change.key, &detail),
         Some(Ok(wave)) => {
@@ -98,7 +98,7 @@
             shared.wake.notify_one();
         }
     }
-    match platform::config(&change.key, value, &*shared.skip) {
+    match platform::decode_config(&change.key, value, &*shared.skip) {
         None => {}
         Some(Err(detail)) => unreadable(shared, &change.key, &detail),
         Some(Ok(config)) => {
@@ -114,7 +114,7 @@
 
 /// A row holds what its key does not promise. What was known before stays.
 fn unreadable(shared: &Site, key: &str, detail: &str) {
-    (shared.skip)(Skipped { list: "rows", detail: format!("{key}: {detail}") });
+    (shared.skip)(SkippedEntry { list: "rows", detail: format!("{key}: {detail}") });
 }
 
 /// Follows the system's own rows for ever.
@@ -122,9 +122,12 @@
     let mut version = None;
     loop {
         let result = match version {
-            None => read_all(&shared.feed, Space::Own).await,
+            None => read_all(&shared.feed, Space::System).await,
             Some(after) => {
-                shared.feed.follow(Space::Own, after, wait(&shared, ROWS_WAIT), TIMEOUT).await
+                shared
+                    .feed
+                    .wait_for_changes(Space::System, after, wait(&shared, ROWS_WAIT), TIMEOUT)
+                    .await
             }
         };
         match result {
@@ -159,7 +162,7 @@
         if after == 0 || quincewheel_clock::boot() > began + CATCH_UP {
             return None;
         }
-        match shared.table.follow(Space::Own, after, Duration::ZERO, TIMEOUT).await {
+        match shared.table.wait_for_changes(Space::System, after, Duration::ZERO, TIMEOUT).await {
             Ok(changes) => take(shared, &changes, false),
             Err(error) => {
                 log::info!(event = "takeover"; "{error}");
@@ -247,7 +250,7 @@
 /// comes again.
 pub(crate) async fn read_all(table: &Table, space: Space) -> Result<Changes, Error> {
     let parts: Vec<&str> = match space {
-        Space::Own => rows::parts().collect(),
+        Space::System => rows::parts().collect(),
         Space::Operator => vec![""],
     };
     let read = parts
--- a/crates/entry/src/site/links.rs
+++ b/crates/entry/src/site/links.rs
@@ -161,8 +161,8 @@
 
 /// Writes where this entry is, so that the owner connects to it.
 pub(crate) async fn announce(shared: Shared) {
-    let size = shared.settings.size;
-    write_node(&shared, Size { processor: size.processor, link: size.link }).await;
+    let size = shared.settings.limits;
+    write_node(&shared, Size { processor: size.cpu_millis, link: size.link_mbps }).await;
 }
 
 /// Writes that this entry is the last that should own: it ends. Where entries restart one
@@ -172,8 +172,8 @@
 }
 
 async fn write_node(shared: &Site, size: Size) {
-    let node = Node { address: shared.settings.peers.clone(), entry: true, size };
+    let node = Node { address: shared.settings.peer_address.clone(), entry: true, size };
     let commit = rows::announcement(&shared.settings.name, &node);
     let failed = |error: &Error| shared.table_answered(Err(error));
-    shared.table.insist(&commit, TIMEOUT, failed).await;
+    shared.table.commit_with_retry(&commit, TIMEOUT, failed).await;
 }
--- a/crates/entry/src/site/own.rs
+++ b/crates/entry/src/site/own.rs
@@ -161,7 +161,7 @@
 /// What the feed has told before stays: a read may be seconds behind it.
 async fn read_rows(shared: &Site, until: u64) -> Option<u64> {
     loop {
-        match read_all(&shared.table, Space::Own).await {
+        match read_all(&shared.table, Space::System).await {
             Ok(all) => {
                 let mut mirror = shared.mirror.borrow_mut();
                 for change in &all.rows {
@@ -187,7 +187,7 @@
         reclaim_deadline: bounds.reclaim,
         fencing_interval: bounds.turn,
         maintenance_duration: bounds.maintenance,
-        lists_machines: shared.settings.machines.is_some(),
+        lists_machines: shared.settings.machines_address.is_some(),
         ..Settings::default()
     }
 }
@@ -195,7 +195,7 @@
 /// Takes in the settings file as it is now, after a signal or without one.
 /// Addresses stay as they were until the next start.
 pub(crate) fn reload(shared: &Site, path: &Path) {
-    let read = match platform::read(path) {
+    let read = match platform::read_settings(path) {
         Ok(read) => read,
         Err(error) => return log::warn!(event = "reload"; "{error}; the former settings stay"),
     };
--- a/crates/entry/src/site/record.rs
+++ b/crates/entry/src/site/record.rs
@@ -167,7 +167,8 @@
 
 pub(crate) async fn read_owner(shared: &Site) -> Result<(Ownership, u64), Error> {
     let read = Read { prefix: OWNER_KEY.to_owned(), after: String::new(), limit: 1 };
-    let (page, _) = shared.table.read(Space::Own, rows::part_of(OWNER_KEY), &read, TIMEOUT).await?;
+    let (page, _) =
+        shared.table.read(Space::System, rows::part_of(OWNER_KEY), &read, TIMEOUT).await?;
     let row = page.rows.into_iter().next();
     let found = row.and_then(|row| {
         serde_json::from_str(&row.value).ok().map(|owner: Ownership| (owner, row.version))
--- a/crates/entry/src/site/state.rs
+++ b/crates/entry/src/site/state.rs
@@ -9,7 +9,7 @@
 };
 use quincewheel_job::{Config, Evacuation, Wave};
 use quincewheel_peer::Hub;
-use quincewheel_platform::{self as platform, Bounds, Skip, Table};
+use quincewheel_platform::{self as platform, Bounds, SkipHandler, Table};
 use quincewheel_store::Error;
 use quincewheel_wire::{LinkId, Sent};
 use tokio::sync::Notify;
@@ -39,7 +39,7 @@
 
 /// What an entry knows.
 pub(crate) struct Site {
-    pub settings: platform::Site,
+    pub settings: platform::Settings,
     /// Times that the platform sets, as last read.
     pub bounds: Cell<Bounds>,
     pub incarnation: u64,
@@ -50,7 +50,7 @@
     pub gate: Arc<Gate>,
     pub metrics: Arc<Metrics>,
     /// Takes note of entries of the platform's lists that cannot be read.
-    pub skip: Skip,
+    pub skip: SkipHandler,
     pub config: RefCell<Option<Config>>,
     /// When the call was sent by which the table last proved the configuration
     /// to be the newest.
@@ -104,7 +104,7 @@
 
 impl Site {
     pub fn open(
-        settings: platform::Site,
+        settings: platform::Settings,
         incarnation: u64,
         hub: Hub<Sent>,
         gate: Arc<Gate>,
@@ -112,8 +112,8 @@
     ) -> Site {
         let skip = skips::open(Arc::clone(&metrics));
         Site {
-            table: Table::open(&settings.table, Rc::clone(&skip)),
-            feed: Table::open(&settings.table, Rc::clone(&skip)),
+            table: Table::new(&settings.table_address, Rc::clone(&skip)),
+            feed: Table::new(&settings.table_address, Rc::clone(&skip)),
             skip,
             election: RefCell::new(Election::new(&settings.name, incarnation, PATIENCE)),
             bounds: Cell::new(settings.bounds),
--- a/crates/entry/src/site/upkeep.rs
+++ b/crates/entry/src/site/upkeep.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quincewheel_platform::{Machines, wave_status};
+use quincewheel_platform::{MachineService, wave_status_row};
 
 use super::own::step;
 use super::state::{Shared, Site};
@@ -28,8 +28,8 @@
 /// Carries wishes out for ever, each on its own: a call that hangs must not
 /// hold up the others.
 pub(crate) async fn run(shared: Shared) {
-    let machines = shared.settings.machines.as_deref().unwrap_or_default();
-    let machines = Rc::new(Machines::open(machines, Rc::clone(&shared.skip)));
+    let machines = shared.settings.machines_address.as_deref().unwrap_or_default();
+    let machines = Rc::new(MachineService::new(machines, Rc::clone(&shared.skip)));
     loop {
         let wishes = std::mem::take(&mut *shared.wishes.borrow_mut());
         for wish in wishes {
@@ -43,7 +43,7 @@
     }
 }
 
-async fn carry_out(shared: &Site, machines: &Machines, wish: Wish) {
+async fn carry_out(shared: &Site, machines: &MachineService, wish: Wish) {
     match wish {
         Wish::List => list(shared, machines).await,
         Wish::Take { wave, machine } => take(shared, machines, wave, &machine).await,
@@ -51,22 +51,22 @@
     }
 }
 
-async fn list(shared: &Site, machines: &Machines) {
+async fn list(shared: &Site, machines: &MachineService) {
     let sent = quincewheel_clock::boot();
     match machines.list(TIMEOUT).await {
         Ok(listed) => {
             if let Some(owner) = shared.owner.borrow_mut().as_mut() {
-                owner.on_machines(listed.machines, listed.whole, listed.pages, sent);
+                owner.on_machines(listed.machines, listed.complete, listed.page_count, sent);
             }
         }
         Err(error) => log::warn!(event = "machines"; "{error}"),
     }
 }
 
-async fn take(shared: &Site, machines: &Machines, wave: u64, machine: &str) {
+async fn take(shared: &Site, machines: &MachineService, wave: u64, machine: &str) {
     let Some(epoch) = shared.owner.borrow().as_ref().map(|owner| owner.epoch()) else { return };
     let holder = shared.settings.name.as_str();
-    let taken = machines.take((machine, wave), (holder, epoch), TIMEOUT).await;
+    let taken = machines.take_down((machine, wave), (holder, epoch), TIMEOUT).await;
     let now = quincewheel_clock::boot();
     let mut owner = shared.owner.borrow_mut();
     if let Some(owner) = owner.as_mut().filter(|owner| owner.epoch() == epoch) {
@@ -77,9 +77,9 @@
 /// Writes a wave's status. Only while this entry owns: another owner tells it
 /// by itself.
 async fn tell(shared: &Site, number: u64, done: bool) {
-    let (key, value) = wave_status(number, done);
+    let (key, value) = wave_status_row(number, done);
     while shared.owner.borrow().is_some() {
-        match shared.table.tell(&key, &value, TIMEOUT).await {
+        match shared.table.write_status(&key, &value, TIMEOUT).await {
             Ok(()) => return,
             Err(error) => log::warn!(event = "wave status"; "{error}"),
         }
--- a/crates/entry/src/site/work.rs
+++ b/crates/entry/src/site/work.rs
@@ -53,7 +53,7 @@
     pub fn target(&self, config: &Config, body: &Body) -> Result<Target, Answer> {
         match self {
             Form::Path { method, host, path, authorization } => {
-                platform::target(config, method, host, path, authorization.as_deref())
+                platform::decode_target(config, method, host, path, authorization.as_deref())
                     .map_err(Answer::Refused)
             }
             Form::Procedure { name, codec, key } => rpc::target(config, name, *codec, key, body),
@@ -63,7 +63,7 @@
     /// The job that a submission holds.
     pub fn job(&self, target: &Target, body: &[u8], accepted: u64) -> Result<Job, String> {
         match self {
-            Form::Path { .. } => platform::submission(target, body, accepted),
+            Form::Path { .. } => platform::decode_submission(target, body, accepted),
             Form::Procedure { codec, .. } => rpc::job(target, *codec, body, accepted),
         }
     }
@@ -72,7 +72,7 @@
     pub fn encode(&self, answer: &Answer) -> Reply {
         match self {
             Form::Path { .. } => {
-                let (status, body, after) = platform::encode(answer);
+                let (status, body, after) = platform::encode_answer(answer);
                 let mut reply = quincewheel_http::reply(status, "application/json", body);
                 if let Some(seconds) = after {
                     quincewheel_http::retry_after(&mut reply, seconds);
