--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use quincewheel_job::{Incarnation, Task};
-use quincewheel_policy::{AVOIDED, bound_avoided, most_closed};
+use quincewheel_policy::{AVOIDANCE_MS, limit_avoided, max_quarantined};
 
 use crate::candidate::Candidate;
 use crate::owner::Owner;
@@ -21,20 +21,21 @@
             && let Some(worker) = self.agents.get(name).and_then(|agent| agent.worker.as_ref())
         {
             let slot = entry.slot(task_key(task));
-            let until = now + AVOIDED;
+            let until = now + AVOIDANCE_MS;
             entry.avoided_workers.entry(slot).or_default().insert(worker.incarnation(), until);
             self.avoidance_ends_at = Some(self.avoidance_ends_at.map_or(until, |at| at.min(until)));
         }
         let closed = self.agents.values().filter(|agent| now < agent.blame.until).count();
-        let most = most_closed(self.agents.len());
+        let most = max_quarantined(self.agents.len());
         let Some(agent) = self.agents.get_mut(name) else { return };
-        if agent.blame.note(&task.job) && closed < most {
-            let ms = agent.blame.close(now);
-            self.log("worker closed", name, format!("for {ms} ms: all recent tasks there failed"));
+        if agent.blame.record_failure(&task.job) && closed < most {
+            let ms = agent.blame.begin(now);
+            self.log("worker closed", name, format!("for {ms} ms: all recent tasks failed"));
         }
     }
 
-    /// Reopens workers whose closure has expired, and lets tasks return to workers that they avoided.
+    /// Reopens workers whose closure has expired, and lets tasks return to workers that they
+    /// avoided.
     pub(crate) fn reopen_workers(&mut self, now: u64) {
         if self.avoidance_ends_at.take_if(|at| *at <= now).is_some() {
             self.replan = true;
@@ -74,8 +75,10 @@
         let workers: BTreeSet<&Incarnation> =
             avoided.filter(|(_, until)| now < **until).map(|(worker, _)| worker).collect();
         let places = snapshot.spots.iter().enumerate();
-        let avoided: Vec<usize> =
-            places.filter(|(_, spot)| workers.contains(&spot.worker)).map(|(at, _)| at).collect();
-        bound_avoided(avoided, snapshot.spots.len())
+        let avoided: Vec<usize> = places
+            .filter(|(_, spot)| workers.contains(&spot.incarnation))
+            .map(|(at, _)| at)
+            .collect();
+        limit_avoided(avoided, snapshot.spots.len())
     }
 }
--- a/crates/dispatch/src/unlisted.rs
+++ b/crates/dispatch/src/unlisted.rs
@@ -44,7 +44,8 @@
     /// True if the run's worker answers and its last list does not contain the run.
     fn is_unlisted(&self, id: &str, key: Key, placed: &Placement) -> bool {
         let Some(agent) = self.agents.get(&placed.agent) else { return false };
-        let current = agent.worker.as_ref().is_some_and(|worker| worker.is(&placed.worker));
+        let current =
+            agent.worker.as_ref().is_some_and(|worker| worker.is_incarnation(&placed.worker));
         let run = (task(id, key), placed.run);
         current && agent.fenced && agent.link.is_some() && !agent.listed_runs.contains(&run)
     }
--- a/crates/dispatch/tests/preemption.rs
+++ b/crates/dispatch/tests/preemption.rs
@@ -6,7 +6,7 @@
 use harness::{Harness, end, job, run, step, task};
 use insta::assert_snapshot;
 use quincewheel_dispatch::Settings;
-use quincewheel_job::{Config, How, Job, Need, Run, Step, Team};
+use quincewheel_job::{Config, How, Job, Resources, Run, Step, Team};
 use quincewheel_wire::Notice;
 
 /// Fills a worker with a run of a job of this name, started `age` ms ago.
@@ -177,7 +177,7 @@
 fn job_with_slack_leaves_the_last_whole_workers_to_urgent_work() {
     let mut harness = Harness::new(1, 6).with_idle_workers(6);
     let relaxed = |now| {
-        let need = Need { cpu: 60_000, memory: 250_000, accelerators: 8 };
+        let need = Resources { cpu: 60_000, memory: 250_000, accelerators: 8 };
         let mut job = job(1, vec![Step { estimate: 9000, need, ..step(1, 8) }]);
         job.queue.stretch = 3.0;
         Job { accepted: now, ..job }
