--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -33,7 +33,7 @@
         Ok(launched) => launched,
         Err(code) => return code,
     };
-    if let Some(path) = quincewheel_platform::path().filter(|_| command == "serve") {
+    if let Some(path) = quincewheel_platform::settings_path().filter(|_| command == "serve") {
         return match Own::resolve(&values) {
             Err(errors) => PROGRAM.refuse(&errors),
             Ok(own) => PROGRAM.end(site::serve(&path, &own)),
@@ -63,7 +63,7 @@
     let service = Service::spawn(&settings.platform, TABLE, stored, |_, result| result)?;
     let endpoint = Endpoint::spawn(&settings.endpoint, &settings.platform, inputs.clone())?;
     let status = Arc::new(Status::default());
-    let grantor = Grantor::open(grant::Settings {
+    let grantor = Grantor::new(grant::Settings {
         member: settings.member.clone(),
         seed: rand::random(),
         ..grant::Settings::default()
