--- a/crates/agent/src/brain.rs
+++ b/crates/agent/src/grantor_thread.rs
@@ -16,41 +16,42 @@
 
 use crate::endpoint::{Command, Endpoint};
 
-/// Key of the ownership row.
-const OWNER: &str = "owner";
-/// Time between looks at what has become due.
-const TICK: Duration = Duration::from_millis(100);
+const OWNER_KEY: &str = "owner";
+/// Interval between calls of [`Grantor::tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What other threads may know of the grantor.
+/// The grantor's state as other threads see it, updated after each event.
 #[derive(Debug, Default)]
 pub(crate) struct Status {
-    pub attached: AtomicBool,
-    pub empty: AtomicBool,
-    pub granted: AtomicU64,
-    pub configuration: AtomicU64,
+    pub has_owner: AtomicBool,
+    pub is_idle: AtomicBool,
+    pub granted_accelerators: AtomicU64,
+    pub configuration_version: AtomicU64,
 }
 
-/// The receiving ends of all rings into the brain.
+/// The receiving ends of all rings that lead to the grantor's thread.
 pub(crate) struct Inbox {
     pub peers: ring::Receiver<peer::Event<Frame>>,
-    pub stored: ring::Receiver<Result<Reply, Error>>,
+    pub reads: ring::Receiver<Result<Reply, Error>>,
     pub inputs: ring::Receiver<Input>,
 }
 
 /// The thread that runs the grantor.
-pub(crate) struct Brain {
+pub(crate) struct GrantorThread {
     grantor: Grantor,
     hub: Hub<Frame>,
     service: Service,
     endpoint: Endpoint,
     status: Arc<Status>,
-    /// Tasks given to the endpoint, to be able to halt and drop them.
+    /// Tasks that were passed to the endpoint and not yet forgotten. Stopping or forgetting
+    /// one needs its ranks.
     tasks: BTreeMap<Attempt, Task>,
     start: Instant,
+    /// The process name in the event log; `None` if no events are written.
     events: Option<String>,
 }
 
-impl Brain {
+impl GrantorThread {
     pub fn spawn(
         grantor: Grantor,
         hub: Hub<Frame>,
@@ -60,7 +61,7 @@
         events: Option<String>,
         inbox: Inbox,
     ) -> io::Result<()> {
-        let start = move || Brain {
+        let start = move || GrantorThread {
             grantor,
             hub,
             service,
@@ -78,36 +79,36 @@
     }
 
     async fn run(mut self, inbox: Inbox) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 biased;
-                Some(event) = inbox.peers.recv() => self.peer(event),
-                Some(result) = inbox.stored.recv() => self.stored(&result),
+                Some(event) = inbox.peers.recv() => self.on_peer_event(event),
+                Some(result) = inbox.reads.recv() => self.on_owner_read(&result),
                 _ = ticks.tick() => {
                     let outputs = self.grantor.tick(self.start.elapsed());
                     self.carry_out(outputs);
                 }
-                Some(input) = inbox.inputs.recv() => self.input(input),
+                Some(input) = inbox.inputs.recv() => self.on_input(input),
             }
-            self.publish();
+            self.update_status();
         }
     }
 
-    fn input(&mut self, input: Input) {
+    fn on_input(&mut self, input: Input) {
         if let Input::Recovered(tasks) = &input {
             for task in tasks {
                 self.tasks.insert(task.attempt, task.clone());
-                self.endpoint.ask(Command::Follow(task.clone()));
+                self.endpoint.send(Command::Follow(task.clone()));
             }
         }
         let outputs = self.grantor.handle(self.start.elapsed(), input);
         self.carry_out(outputs);
     }
 
-    fn peer(&mut self, event: peer::Event<Frame>) {
-        self.input(match event {
+    fn on_peer_event(&mut self, event: peer::Event<Frame>) {
+        self.on_input(match event {
             peer::Event::Linked { link, hello, dialled } => {
                 Input::Connected { link, hello, dialled }
             }
@@ -120,13 +121,13 @@
         });
     }
 
-    fn stored(&mut self, result: &Result<Reply, Error>) {
+    fn on_owner_read(&mut self, result: &Result<Reply, Error>) {
         let row = match result {
-            Ok(Reply::Page(page)) => page.rows.iter().find(|row| row.key == OWNER),
+            Ok(Reply::Page(page)) => page.rows.iter().find(|row| row.key == OWNER_KEY),
             _ => None,
         };
         let row = row.and_then(|row| serde_json::from_str::<OwnerRow>(&row.value).ok());
-        self.input(Input::OwnerRow(row.map(|row| (row.epoch, row.address))));
+        self.on_input(Input::OwnerRow(row.map(|row| (row.epoch, row.address))));
     }
 
     fn carry_out(&mut self, outputs: Vec<Output>) {
@@ -138,8 +139,9 @@
                 }
                 Output::Send { link, frame } => {
                     if !self.hub.ask(peer::Command::Send { link, frame }) {
-                        // Frames must not be lost in the middle of a connection.
-                        self.input(Input::Disconnected { link });
+                        // The hub's queue is full. Dropping one frame would leave the connection with a gap,
+                        // so the whole connection counts as lost.
+                        self.on_input(Input::Disconnected { link });
                     }
                 }
                 Output::Close { link, reason } => {
@@ -147,31 +149,31 @@
                 }
                 Output::Run { task } => {
                     self.tasks.insert(task.attempt, task.clone());
-                    self.endpoint.ask(Command::Run(task));
+                    self.endpoint.send(Command::Run(task));
                 }
                 Output::Stop { attempt, grace } => {
                     if let Some(task) = self.tasks.get(&attempt) {
-                        self.endpoint.ask(Command::Halt(task.clone(), grace));
+                        self.endpoint.send(Command::Stop(task.clone(), grace));
                     }
                 }
                 Output::Forget { attempt } => {
                     if let Some(task) = self.tasks.remove(&attempt) {
-                        self.endpoint.ask(Command::Drop(task));
+                        self.endpoint.send(Command::Forget(task));
                     }
                 }
-                Output::Event(kind) => self.write_event(kind),
+                Output::Event(kind) => self.print_event(kind),
             }
         }
     }
 
     fn read_owner(&mut self) {
-        let read = Read { prefix: OWNER.to_owned(), after: String::new(), limit: 1 };
+        let read = Read { prefix: OWNER_KEY.to_owned(), after: String::new(), limit: 1 };
         if !self.service.call(0, Op::Read(read)) {
-            self.input(Input::OwnerRow(None));
+            self.on_input(Input::OwnerRow(None));
         }
     }
 
-    fn write_event(&self, kind: Kind) {
+    fn print_event(&self, kind: Kind) {
         let Some(process) = &self.events else { return };
         let at = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let event = Event { at, process: process.clone(), kind };
@@ -180,12 +182,14 @@
         }
     }
 
-    fn publish(&self) {
-        self.status.attached.store(self.grantor.has_owner(), Ordering::Relaxed);
-        self.status.empty.store(self.grantor.is_idle(), Ordering::Relaxed);
+    fn update_status(&self) {
+        self.status.has_owner.store(self.grantor.has_owner(), Ordering::Relaxed);
+        self.status.is_idle.store(self.grantor.is_idle(), Ordering::Relaxed);
         self.status
-            .granted
+            .granted_accelerators
             .store(self.grantor.granted_mask().count_ones().into(), Ordering::Relaxed);
-        self.status.configuration.store(self.grantor.configuration_version(), Ordering::Relaxed);
+        self.status
+            .configuration_version
+            .store(self.grantor.configuration_version(), Ordering::Relaxed);
     }
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,13 +1,15 @@
-//! The agent process: beside one endpoint, the only grantor of its worker's
-//! accelerators.
+//! The agent process. One runs beside each endpoint and alone grants the accelerators of its
+//! worker.
 //!
-//! Duties and their threads: `brain` runs the [`quincewheel_grant::Grantor`],
-//! `endpoint` calls the endpoint and the object store, `peers` keeps
-//! connections to other processes, `store` reads the ownership row, `pages`
-//! serves metrics and health. Bounded rings join them.
+//! Each task has a thread of its own: `brain` runs the [`quincewheel_grant::Grantor`], `endpoint`
+//! calls the endpoint and the object store, `peers` keeps the connections to other processes,
+//! `store` reads the ownership row, and `pages` serves metrics and health checks. Bounded rings
+//! connect them.
+//!
+//! On the users' platform the agent runs the `site` module instead.
 
-mod brain;
 mod endpoint;
+mod grantor_thread;
 mod metrics;
 mod run;
 mod settings;
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -6,15 +6,15 @@
 use prometheus_client::registry::Registry;
 use quincewheel_peer::Traffic;
 
-use crate::brain::Status;
+use crate::grantor_thread::Status;
 
-/// The metrics page, in the OpenMetrics text format.
+/// Renders the metrics page in the OpenMetrics text format.
 pub(crate) fn page(status: &Status, traffic: &Arc<Traffic>) -> String {
     let mut registry = Registry::with_prefix("quincewheel_agent");
-    let attached = i64::from(status.attached.load(Ordering::Relaxed));
-    let configuration = status.configuration.load(Ordering::Relaxed) as i64;
-    let granted = status.granted.load(Ordering::Relaxed) as i64;
-    let listed = [
+    let attached = i64::from(status.has_owner.load(Ordering::Relaxed));
+    let configuration = status.configuration_version.load(Ordering::Relaxed) as i64;
+    let granted = status.granted_accelerators.load(Ordering::Relaxed) as i64;
+    let gauges = [
         ("attached", "1 if an owner is connected", attached),
         ("granted_accelerators", "Accelerators granted now", granted),
         ("configuration", "Configuration version in force", configuration),
@@ -31,7 +31,7 @@
             traffic.refused() as i64,
         ),
     ];
-    for (name, help, value) in listed {
+    for (name, help, value) in gauges {
         let gauge: Gauge = Gauge::default();
         gauge.set(value);
         registry.register(name, help, gauge);
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -14,20 +14,22 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::Instant;
 
-use crate::brain::{Brain, Inbox, Status};
 use crate::endpoint::Endpoint;
+use crate::grantor_thread::{GrantorThread, Inbox, Status};
 use crate::metrics;
 use crate::settings::{DEFINITIONS, PROGRAM, Settings};
 use crate::site;
 
-/// Events that may wait for the brain.
-const PEERS: usize = 1024;
-const INPUTS: usize = 1024;
-const STORED: usize = 16;
-/// A read of the table without an answer has failed after this time.
-const TABLE: Duration = Duration::from_millis(2000);
+/// Capacity of the ring of peer events.
+const PEER_QUEUE_LEN: usize = 1024;
+/// Capacity of the ring of the grantor's inputs.
+const INPUT_QUEUE_LEN: usize = 1024;
+/// Capacity of the ring of results of reads.
+const READ_QUEUE_LEN: usize = 16;
+/// A read of the table that is not answered within this time has failed.
+const TABLE_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// Runs the program with these arguments.
+/// Runs the agent with the arguments of its command line.
 pub fn run(args: &[String]) -> ExitCode {
     let (command, values) = match PROGRAM.launch(args) {
         Ok(launched) => launched,
@@ -52,16 +54,18 @@
 fn serve(settings: Settings) -> io::Result<()> {
     let worker = settings.member.worker.clone();
     quincewheel_log::open(&worker, settings.log_level).map_err(io::Error::other)?;
-    let (peers, peers_in) = ring::open(PEERS);
-    let (inputs, inputs_in) = ring::open(INPUTS);
-    let (stored, stored_in) = ring::open(STORED);
+    let (peers, peers_in) = ring::open(PEER_QUEUE_LEN);
+    let (inputs, inputs_in) = ring::open(INPUT_QUEUE_LEN);
+    let (reads, reads_in) = ring::open(READ_QUEUE_LEN);
     let hello = Hello { role: Role::Agent, name: worker.clone(), incarnation: rand::random() };
     let key = Key::new(settings.fleet_key.as_bytes());
     let hub = Hub::bind(&settings.member.address, key, hello, peers, |event| event)
         .map_err(io::Error::other)?;
     let traffic = hub.traffic();
-    let service = Service::spawn(&settings.platform, TABLE, stored, |_, result| result)?;
-    let endpoint = Endpoint::spawn(&settings.endpoint, &settings.platform, inputs.clone())?;
+    let service =
+        Service::spawn(&settings.platform_address, TABLE_TIMEOUT, reads, |_, result| result)?;
+    let endpoint =
+        Endpoint::spawn(&settings.endpoint_address, &settings.platform_address, inputs.clone())?;
     let status = Arc::new(Status::default());
     let grantor = Grantor::new(grant::Settings {
         member: settings.member.clone(),
@@ -69,11 +73,11 @@
         ..grant::Settings::default()
     });
     let events = settings.events.then_some(worker);
-    let inbox = Inbox { peers: peers_in, stored: stored_in, inputs: inputs_in };
-    Brain::spawn(grantor, hub, service, endpoint, Arc::clone(&status), events, inbox)?;
-    let shown = Arc::clone(&status);
-    let _pages = Server::bind("pages", &settings.pages, move |request| {
-        let reply = page(request.path(), &shown, &traffic);
+    let inbox = Inbox { peers: peers_in, reads: reads_in, inputs: inputs_in };
+    GrantorThread::spawn(grantor, hub, service, endpoint, Arc::clone(&status), events, inbox)?;
+    let page_status = Arc::clone(&status);
+    let _pages = Server::bind("pages", &settings.pages_address, move |request| {
+        let reply = serve_page(request.path(), &page_status, &traffic);
         async move { reply }
     })?;
     log::info!(step = "start", peer = settings.member.address.as_str(); "serving");
@@ -86,30 +90,30 @@
             _ = int.recv() => {}
         }
         log::info!(step = "drain"; "shutting down");
-        drain(&inputs, &status, settings.drain).await;
+        drain(&inputs, &status, settings.drain_timeout).await;
         log::info!(step = "drain"; "ended");
         Ok(())
     })
 }
 
-/// Takes nothing new and waits until all that runs has ended and is recorded,
-/// but no longer than `bound`.
-async fn drain(inputs: &ring::Sender<Input>, status: &Status, bound: Duration) {
+/// Stops accepting tasks and waits until all that run have ended and the owner has recorded their
+/// ends, for `timeout` at most.
+async fn drain(inputs: &ring::Sender<Input>, status: &Status, timeout: Duration) {
     inputs.send(Input::Drain).await;
-    let end = Instant::now() + bound;
+    let deadline = Instant::now() + timeout;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    while !status.empty.load(Ordering::Relaxed) && Instant::now() < end {
+    while !status.is_idle.load(Ordering::Relaxed) && Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    // The last frames leave before the process does.
+    // Gives the last frames time to be sent before the process exits.
     tokio::time::sleep(Duration::from_millis(100)).await;
 }
 
-fn page(path: &str, status: &Status, traffic: &Arc<Traffic>) -> Reply {
+fn serve_page(path: &str, status: &Status, traffic: &Arc<Traffic>) -> Reply {
     let text = "text/plain; charset=utf-8";
     match path {
         "/healthz" => quincewheel_http::reply(200, text, "alive\n"),
-        "/readyz" if status.attached.load(Ordering::Relaxed) => {
+        "/readyz" if status.has_owner.load(Ordering::Relaxed) => {
             quincewheel_http::reply(200, text, "ready\n")
         }
         "/readyz" => quincewheel_http::reply(503, text, "not ready: no owner is connected\n"),
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -38,7 +38,7 @@
     "Milliseconds that running tasks have to end after SIGTERM, 0 to 86400000",
 );
 
-/// All settings of an agent.
+/// Definitions of all settings of an agent.
 pub const DEFINITIONS: &[Definition] = &[
     WORKER,
     ZONE,
@@ -56,7 +56,7 @@
     EVENTS,
 ];
 
-/// The command line of an agent.
+/// The agent's commands and settings, for its command line.
 pub const PROGRAM: Program = Program {
     name: "quincewheel-agent",
     about: "Agent of quincewheel, a scheduler for multi-accelerator jobs under team guarantees.",
@@ -67,29 +67,29 @@
     definitions: DEFINITIONS,
 };
 
-/// Checked settings of an agent.
+/// The validated settings of an agent.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The worker, as it is announced.
+    /// The worker, as the agent announces it to the owner.
     pub member: Member,
-    /// Where metrics and health are served.
-    pub pages: String,
-    /// Where the endpoint is.
-    pub endpoint: String,
-    /// Where the platform is.
-    pub platform: String,
-    /// Proves membership.
+    /// The address on which metrics and health checks are served.
+    pub pages_address: String,
+    /// The address of the endpoint.
+    pub endpoint_address: String,
+    /// The address of the platform's table and object store.
+    pub platform_address: String,
+    /// The secret that authenticates connections between processes of the fleet.
     pub fleet_key: String,
-    /// Time for running tasks after SIGTERM.
-    pub drain: Duration,
-    /// How much is logged.
+    /// How long running tasks may go on after SIGTERM.
+    pub drain_timeout: Duration,
+    /// The least severe level that is logged.
     pub log_level: LevelFilter,
-    /// Whether events are written.
+    /// Whether events are written to standard output.
     pub events: bool,
 }
 
 impl Settings {
-    /// Checks all values and reports every mistake.
+    /// Validates all values. On failure returns an error for each that is invalid.
     pub fn resolve(values: &Values) -> Result<Settings, Vec<Error>> {
         let mut r = Resolver::new(values);
         let settings = Settings {
@@ -102,11 +102,11 @@
                 address: r.address(&LISTEN),
                 leaving: false,
             },
-            pages: r.address(&PAGES),
-            endpoint: r.address(&ENDPOINT),
-            platform: r.address(&PLATFORM),
+            pages_address: r.address(&PAGES),
+            endpoint_address: r.address(&ENDPOINT),
+            platform_address: r.address(&PLATFORM),
             fleet_key: r.secret(&FLEET_KEY, 16),
-            drain: r.millis(&DRAIN, 0, 86_400_000),
+            drain_timeout: r.millis(&DRAIN, 0, 86_400_000),
             log_level: r.level(&LOG_LEVEL),
             events: r.switch(&EVENTS),
         };
--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -1,11 +1,11 @@
-//! An agent on the users' platform.
+//! The agent as it runs on the users' platform.
 //!
-//! One thread takes the worker's reports, one keeps the connections to the
-//! system's other processes, and one carries orders to the worker.
+//! One thread receives the worker's heartbeats, one keeps the connections to the system's other
+//! processes, and one runs the [`Runner`] and sends its calls to the worker.
 
-mod health;
+mod health_log;
 mod metrics;
-mod started;
+mod start_log;
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -26,119 +26,123 @@
 use quincewheel_wire::{Hello, Key, Notice, Order, Role, list_starts};
 use tokio::sync::Notify;
 
-use self::health::Health;
+use self::health_log::HealthLog;
 use self::metrics::Metrics;
-use self::started::Started;
+use self::start_log::StartLog;
 
-/// Reports of the worker that may wait.
-const REPORTS: usize = 256;
-/// Frames of owners that may wait.
-const PEERS: usize = 1024;
-/// Largest report that is read.
-const MAX_REPORT: usize = 4 << 20;
-/// A write of the agent's own row is repeated after this time.
-const TIMEOUT: Duration = Duration::from_millis(1500);
-/// Reports in a row that a worker may miss before it is looked at.
-const MISSED: u64 = 2;
-/// How late a report may come, in milliseconds: a third of the usual time between two,
-/// for agents and workers on a machine that is slow.
-const LATE: u64 = 500;
-/// What is left of the time for shutting down when the process ends.
-const LAST: Duration = Duration::from_millis(500);
+/// Capacity of the ring of the worker's reports.
+const REPORT_QUEUE_LEN: usize = 256;
+/// Capacity of the ring of peer events.
+const PEER_QUEUE_LEN: usize = 1024;
+/// Largest body of a report that is accepted, in bytes.
+const MAX_REPORT_BYTES: usize = 4 << 20;
+/// A write of the agent's own row that is not answered within this time has failed.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Number of heartbeats in a row that a worker may miss before it is polled.
+const MAX_MISSED_HEARTBEATS: u64 = 2;
+/// How late a heartbeat may arrive, in milliseconds. It is a third of the default interval, so that
+/// agents and workers on a slow machine have some slack.
+const HEARTBEAT_SLACK_MS: u64 = 500;
+/// The process exits this long before its grace period ends.
+const EXIT_MARGIN: Duration = Duration::from_millis(500);
 
 struct Agent {
     runner: RefCell<Runner>,
     hub: Hub<Notice>,
-    worker: platform::WorkerClient,
+    worker_client: platform::WorkerClient,
     metrics: Arc<Metrics>,
-    health: Health,
-    started: Started,
+    health_log: HealthLog,
+    start_log: StartLog,
+    /// Notified when the runner's next tick may have become earlier.
     wake: Notify,
-    /// The worker reported itself, or another incarnation of it is known.
-    reported: Notify,
+    /// Notified when the worker has sent a heartbeat or another incarnation of it becomes known.
+    worker_changed: Notify,
 }
 
-/// Serves until the process is told to end.
+/// Runs the agent until the process receives a signal to terminate.
 pub(crate) fn serve(settings: &Path, own: &Own) -> io::Result<()> {
-    let site = platform::read_settings(settings).map_err(io::Error::other)?;
-    let Some(side) = site.agent.clone() else {
+    let config = platform::read_settings(settings).map_err(io::Error::other)?;
+    let Some(listener) = config.agent.clone() else {
         return Err(io::Error::other("the settings name no address for a worker's reports"));
     };
-    quincewheel_log::open_lines(&site.name, own.log_level).map_err(io::Error::other)?;
-    let (reports, reports_in) = ring::open::<Report>(REPORTS);
-    let (peers, peers_in) = ring::open::<Event<Order>>(PEERS);
-    let hello = Hello { role: Role::Agent, name: site.name.clone(), incarnation: rand::random() };
+    quincewheel_log::open_lines(&config.name, own.log_level).map_err(io::Error::other)?;
+    let (reports, reports_in) = ring::open::<Report>(REPORT_QUEUE_LEN);
+    let (peers, peers_in) = ring::open::<Event<Order>>(PEER_QUEUE_LEN);
+    let hello = Hello { role: Role::Agent, name: config.name.clone(), incarnation: rand::random() };
     let key = Key::new(own.fleet_key.as_bytes());
-    let hub: Hub<Notice> = Hub::bind(&site.peer_address, key, hello, peers, |event| event)
+    let hub: Hub<Notice> = Hub::bind(&config.peer_address, key, hello, peers, |event| event)
         .map_err(io::Error::other)?;
-    let metrics = Arc::new(Metrics::open());
-    let shown = Arc::clone(&metrics);
-    let metrics_address = format!("{}:{}", site.ip, own.metrics_port);
-    Server::bind_all("reports", &[&side.reports, &metrics_address], move |request| {
-        take(request, reports.clone(), Arc::clone(&shown))
+    let metrics = Arc::new(Metrics::build());
+    let page_metrics = Arc::clone(&metrics);
+    let metrics_address = format!("{}:{}", config.ip, own.metrics_port);
+    Server::bind_all("reports", &[&listener.reports, &metrics_address], move |request| {
+        receive_report(request, reports.clone(), Arc::clone(&page_metrics))
     })?;
-    log::info!(event = "start", zone = site.zone.as_str(), peers = site.peer_address.as_str(); "agent");
+    log::info!(event = "start", zone = config.zone.as_str(), peers = config.peer_address.as_str(); "agent");
     let path = settings.to_owned();
     let runtime = actix_rt::Runtime::new()?;
     runtime.block_on(async move {
-        let settings = bounded(&site.bounds);
+        let settings = runner_settings(&config.bounds);
         let agent = Rc::new(Agent {
             runner: RefCell::new(Runner::open(settings)),
             hub,
-            worker: platform::WorkerClient::build(),
+            worker_client: platform::WorkerClient::build(),
             metrics,
-            health: Health::default(),
-            started: Started::default(),
+            health_log: HealthLog::default(),
+            start_log: StartLog::default(),
             wake: Notify::new(),
-            reported: Notify::new(),
+            worker_changed: Notify::new(),
         });
-        actix_rt::spawn(announce(Rc::clone(&agent), site.clone()));
-        actix_rt::spawn(hear_worker(Rc::clone(&agent), reports_in));
-        actix_rt::spawn(hear_owners(Rc::clone(&agent), peers_in));
-        actix_rt::spawn(keep_time(Rc::clone(&agent)));
-        let grace = Cell::new(site.bounds.grace);
+        actix_rt::spawn(announce(Rc::clone(&agent), config.clone()));
+        actix_rt::spawn(process_reports(Rc::clone(&agent), reports_in));
+        actix_rt::spawn(process_peer_events(Rc::clone(&agent), peers_in));
+        actix_rt::spawn(run_ticks(Rc::clone(&agent)));
+        let grace = Cell::new(config.bounds.grace);
         quincewheel_conf::ending(|| reload(&agent, &path, &grace)).await?;
         log::info!(event = "drain"; "shutting down");
-        tokio::time::sleep(Duration::from_millis(grace.get()).saturating_sub(LAST)).await;
+        tokio::time::sleep(Duration::from_millis(grace.get()).saturating_sub(EXIT_MARGIN)).await;
         log::info!(event = "stop"; "ended");
         Ok(())
     })
 }
 
-/// What the platform's bounds mean for the runner.
-fn bounded(bounds: &Bounds) -> Settings {
-    let heartbeat_timeout = MISSED * bounds.reports + LATE;
+/// Derives the runner's settings from the platform's bounds.
+fn runner_settings(bounds: &Bounds) -> Settings {
+    let heartbeat_timeout = MAX_MISSED_HEARTBEATS * bounds.reports + HEARTBEAT_SLACK_MS;
     Settings { lease: bounds.lease, heartbeat_timeout, ..Settings::default() }
 }
 
-/// Takes in the settings file as it is now. Addresses stay as they were until the
-/// next start.
+/// Applies the settings file as it is now. Addresses change only with a restart of the process.
 fn reload(agent: &Agent, path: &Path, grace: &Cell<u64>) {
     match platform::read_settings(path) {
-        Ok(read) => {
-            log::info!(event = "reload"; "{:?}", read.bounds);
-            grace.set(read.bounds.grace);
-            agent.runner.borrow_mut().update_settings(bounded(&read.bounds));
+        Ok(config) => {
+            log::info!(event = "reload"; "{:?}", config.bounds);
+            grace.set(config.bounds.grace);
+            agent.runner.borrow_mut().update_settings(runner_settings(&config.bounds));
         }
         Err(error) => log::warn!(event = "reload"; "{error}; the former settings stay"),
     }
 }
 
-/// Takes a report. It is acknowledged once it is on its way to the thread
-/// that refuses starts at a worker which leaves.
-async fn take(mut request: Request, reports: ring::Sender<Report>, metrics: Arc<Metrics>) -> Reply {
+/// Receives a report of the worker. The report is acknowledged once it is queued for the runner's
+/// thread, which refuses starts at a worker that is leaving.
+async fn receive_report(
+    mut request: Request,
+    reports: ring::Sender<Report>,
+    metrics: Arc<Metrics>,
+) -> Reply {
     if request.path() == quincewheel_http::METRICS {
         return quincewheel_http::metrics(metrics.page());
     }
     let method = request.method().as_str().to_owned();
     let path = request.path().to_owned();
-    let Body::Whole(body) = quincewheel_http::read(&mut request, MAX_REPORT).await else {
+    let Body::Whole(body) = quincewheel_http::read(&mut request, MAX_REPORT_BYTES).await else {
         return quincewheel_http::reply(413, "application/json", "{}");
     };
     let status = match platform::decode_report(&method, &path, &body) {
         None => 404,
         Some(Err(detail)) => {
-            metrics.left_out(&detail, quincewheel_clock::boot());
+            metrics.count_invalid_report(&detail, quincewheel_clock::boot());
             400
         }
         Some(Ok(report)) => match reports.try_send(report) {
@@ -149,48 +153,49 @@
     quincewheel_http::reply(status, "application/json", "{}")
 }
 
-/// Writes where this agent is, so that owners find it: once its worker has
-/// reported, and again while it reports and no owner speaks to this agent. An
-/// owner drops the row of an agent that it could not reach for long.
-async fn announce(agent: Rc<Agent>, site: platform::Settings) {
-    let node = Node { address: site.peer_address.clone(), ..Node::default() };
-    let commit = rows::announcement(&site.name, &node);
-    let limit = Limit::default();
+/// Writes the row from which owners learn this agent's address. It is written once the worker has
+/// sent a heartbeat, and again while the worker sends heartbeats but no owner is connected, since
+/// an owner removes the row of an agent that it could not reach for long.
+async fn announce(agent: Rc<Agent>, config: platform::Settings) {
+    let node = Node { address: config.peer_address.clone(), ..Node::default() };
+    let commit = rows::announcement(&config.name, &node);
+    let log_limit = Limit::default();
     let skip = move |SkippedEntry { list, detail }| {
-        if let Some(held) = limit.pass(quincewheel_clock::boot()) {
-            log::warn!(event = "entry left out", list = list, untold = held; "{detail}");
+        if let Some(suppressed) = log_limit.pass(quincewheel_clock::boot()) {
+            log::warn!(event = "entry left out", list = list, untold = suppressed; "{detail}");
         }
     };
-    let table = Table::new(&site.table_address, Rc::new(skip));
-    let failed = |error: &Error| log::warn!(event = "table"; "{error}");
+    let table = Table::new(&config.table_address, Rc::new(skip));
+    let log_failure = |error: &Error| log::warn!(event = "table"; "{error}");
     let mut announcement = Announcement::open();
     loop {
         let now = quincewheel_clock::boot();
         let incarnations = agent.runner.borrow().incarnation_count();
-        let due = announcement.next_write(&agent.runner.borrow(), rand::random(), now);
-        match due {
-            None => agent.reported.notified().await,
+        let next_write = announcement.next_write(&agent.runner.borrow(), rand::random(), now);
+        match next_write {
+            None => agent.worker_changed.notified().await,
             Some(at) if at > now => {
                 let wait = Duration::from_millis(at - now);
-                let _ = tokio::time::timeout(wait, agent.reported.notified()).await;
+                let _ = tokio::time::timeout(wait, agent.worker_changed.notified()).await;
             }
             Some(_) => {
-                table.commit_with_retry(&commit, TIMEOUT, failed).await;
+                table.commit_with_retry(&commit, WRITE_TIMEOUT, log_failure).await;
                 announcement.on_written(incarnations);
             }
         }
     }
 }
 
-async fn hear_worker(agent: Rc<Agent>, reports: ring::Receiver<Report>) {
+/// Passes the worker's reports to the runner.
+async fn process_reports(agent: Rc<Agent>, reports: ring::Receiver<Report>) {
     while let Some(report) = reports.recv().await {
         let now = quincewheel_clock::boot();
         match report {
             Report::Heartbeat { worker, address, clock, number } => {
-                agent.started.note(&worker);
+                agent.start_log.record(&worker);
                 let heartbeat = Heartbeat { worker: &worker, address: &address, clock, number };
                 agent.runner.borrow_mut().on_heartbeat(&heartbeat, now);
-                agent.reported.notify_one();
+                agent.worker_changed.notify_one();
             }
             Report::Leave { worker } => agent.runner.borrow_mut().on_leave(&worker, now),
         }
@@ -199,7 +204,8 @@
     }
 }
 
-async fn hear_owners(agent: Rc<Agent>, events: ring::Receiver<Event<Order>>) {
+/// Passes the owners' orders to the runner.
+async fn process_peer_events(agent: Rc<Agent>, events: ring::Receiver<Event<Order>>) {
     while let Some(event) = events.recv().await {
         let now = quincewheel_clock::boot();
         match event {
@@ -212,8 +218,8 @@
     }
 }
 
-/// Lets time pass for the runner.
-async fn keep_time(agent: Rc<Agent>) {
+/// Calls the runner's tick whenever it is due.
+async fn run_ticks(agent: Rc<Agent>) {
     loop {
         let now = quincewheel_clock::boot();
         agent.runner.borrow_mut().tick(now);
@@ -226,7 +232,7 @@
     }
 }
 
-/// Carries out what the runner wants.
+/// Carries out the runner's outputs.
 fn carry_out(agent: &Rc<Agent>) {
     let outputs = agent.runner.borrow_mut().outputs();
     for output in outputs {
@@ -247,16 +253,16 @@
             Output::Call { id, call } => {
                 let agent = Rc::clone(agent);
                 actix_rt::spawn(async move {
-                    let began = quincewheel_clock::boot();
-                    let answer = agent.worker.call(&call).await;
-                    let ms = quincewheel_clock::boot() - began;
-                    agent.metrics.count(&call.action, &answer, ms);
+                    let called_at = quincewheel_clock::boot();
+                    let reply = agent.worker_client.call(&call).await;
+                    let ms = quincewheel_clock::boot() - called_at;
+                    agent.metrics.count(&call.action, &reply, ms);
                     let now = quincewheel_clock::boot();
-                    agent.health.note(&call, &answer, now);
+                    agent.health_log.record(&call, &reply, now);
                     let incarnations = agent.runner.borrow().incarnation_count();
-                    agent.runner.borrow_mut().on_reply(id, answer, now);
+                    agent.runner.borrow_mut().on_reply(id, reply, now);
                     if agent.runner.borrow().incarnation_count() != incarnations {
-                        agent.reported.notify_one();
+                        agent.worker_changed.notify_one();
                     }
                     carry_out(&agent);
                     agent.wake.notify_one();
--- a/crates/agent/src/site/started.rs
+++ b/crates/agent/src/site/start_log.rs
@@ -2,16 +2,16 @@
 
 use quincewheel_job::Worker;
 
-/// Which start of the worker reported last, for the log: a worker may start again under the
-/// id that it had, and nothing else in its reports shows it.
+/// Logs each incarnation of the worker once. A worker may restart under the same id, and only the
+/// start time in its heartbeats shows it.
 #[derive(Debug, Default)]
-pub(crate) struct Started {
+pub(crate) struct StartLog {
     last: RefCell<Option<(String, u64)>>,
 }
 
-impl Started {
-    /// Takes note of a report, and logs it if it is the first of another start.
-    pub fn note(&self, worker: &Worker) {
+impl StartLog {
+    /// Records a heartbeat and logs it if it is the first of an incarnation.
+    pub fn record(&self, worker: &Worker) {
         let mut last = self.last.borrow_mut();
         let known =
             last.as_ref().is_some_and(|(id, born)| *id == worker.id && *born == worker.born);
