--- a/crates/grant/src/gang.rs
+++ b/crates/grant/src/gang.rs
@@ -1,109 +1,111 @@
-//! A gang keeps itself whole without its owner.
+//! Liveness checks between the members of a gang, without the owner.
 //!
-//! Members tell the gang's first member that they run (pulse), and the first
-//! tells them that the gang is whole. A member not heard for a while stops all;
-//! a first member not heard stops the rest. Both messages also carry the start:
-//! a member that runs proves that the start is recorded, so that one that was
-//! granted but missed the owner's word starts too.
+//! Each member reports to the gang's first member that it runs (`Pulse`), and the first member
+//! replies that the gang is complete (`Whole`). If the first member receives nothing from a member
+//! within the timeout, it stops the gang; if a member receives nothing from the first member, it
+//! stops. Both frames also pass the start on: a member that runs proves that the start is recorded,
+//! so a member that was granted its accelerators but missed the owner's start order starts as well.
 
 use quincewheel_wire::{Attempt, Frame, LinkId};
 
+use crate::grant::State;
 use crate::grantor::Grantor;
-use crate::held::State;
 
 impl Grantor {
-    /// Sends what is due to other members and stops gangs that are not whole.
-    pub(crate) fn watch_gangs(&mut self) {
+    /// Sends the frames that are due to other members and stops gangs of which a member has timed
+    /// out.
+    pub(crate) fn check_gangs(&mut self) {
         let now = self.now;
-        let me = self.worker().to_owned();
-        let mut due: Vec<(Attempt, String, String)> = Vec::new();
-        let mut broken: Vec<(Attempt, String)> = Vec::new();
-        for (attempt, held) in &mut self.held {
-            if !held.gang() || !held.sound() {
+        let this_worker = self.worker().to_owned();
+        let mut due_pulses: Vec<(Attempt, String, String)> = Vec::new();
+        let mut broken_gangs: Vec<(Attempt, String)> = Vec::new();
+        for (attempt, grant) in &mut self.grants {
+            if !grant.is_gang() || !grant.is_sound() {
                 continue;
             }
-            let lead = held.task.first() == me;
-            let first = held.task.first().to_owned();
-            let watched = held
-                .task
-                .members
-                .iter()
-                .filter(|(worker, _)| if lead { *worker != me } else { *worker == first });
+            let is_first = grant.task.first() == this_worker;
+            let first = grant.task.first().to_owned();
+            let watched = grant.task.members.iter().filter(|(worker, _)| {
+                if is_first { *worker != this_worker } else { *worker == first }
+            });
             let watched: Vec<(String, String)> = watched.cloned().collect();
             for (worker, _) in &watched {
-                let heard = held.heard.entry(worker.clone()).or_insert(now);
-                if now.saturating_sub(*heard) >= self.settings.gang_timeout {
-                    *heard = now;
-                    broken.push((*attempt, format!("member {worker} is silent")));
+                let last_seen = grant.last_seen.entry(worker.clone()).or_insert(now);
+                if now.saturating_sub(*last_seen) >= self.settings.gang_timeout {
+                    *last_seen = now;
+                    broken_gangs.push((*attempt, format!("member {worker} is silent")));
                 }
             }
-            if now >= held.next_pulse {
-                held.next_pulse = now + self.settings.heartbeat_interval;
-                due.extend(watched.into_iter().map(|(w, address)| (*attempt, w, address)));
+            if now >= grant.next_pulse {
+                grant.next_pulse = now + self.settings.heartbeat_interval;
+                due_pulses.extend(watched.into_iter().map(|(w, address)| (*attempt, w, address)));
             }
         }
-        for (attempt, worker, address) in due {
-            self.pulse(attempt, &worker, &address);
+        for (attempt, worker, address) in due_pulses {
+            self.send_pulse(attempt, &worker, &address);
         }
-        for (attempt, reason) in broken {
-            self.halt(attempt, std::time::Duration::ZERO, &reason);
-            self.break_gang(attempt, &reason);
+        for (attempt, reason) in broken_gangs {
+            self.stop_at_endpoint(attempt, std::time::Duration::ZERO, &reason);
+            self.notify_broken_gang(attempt, &reason);
         }
     }
 
-    fn pulse(&mut self, attempt: Attempt, worker: &str, address: &str) {
-        let Some(held) = self.held.get(&attempt) else { return };
-        let lead = held.task.first() == self.worker();
+    /// Sends the liveness frame to a member, or dials it first.
+    fn send_pulse(&mut self, attempt: Attempt, worker: &str, address: &str) {
+        let Some(grant) = self.grants.get(&attempt) else { return };
+        let is_first = grant.task.first() == self.worker();
         let Some(link) = self.link_to(attempt, worker) else {
             self.dial(address);
             return;
         };
-        let done = !held.live();
+        let done = !grant.is_active();
         let frame =
-            if lead { Frame::Whole { attempt, done } } else { Frame::Pulse { attempt, done } };
+            if is_first { Frame::Whole { attempt, done } } else { Frame::Pulse { attempt, done } };
         self.send(link, frame);
     }
 
     fn link_to(&self, attempt: Attempt, worker: &str) -> Option<LinkId> {
-        let held = self.held.get(&attempt)?;
-        let known = held.links.get(worker).copied();
-        known.or_else(|| self.peers.iter().find(|(_, name)| *name == worker).map(|(link, _)| *link))
+        let grant = self.grants.get(&attempt)?;
+        let recorded = grant.links.get(worker).copied();
+        recorded
+            .or_else(|| self.peers.iter().find(|(_, name)| *name == worker).map(|(link, _)| *link))
     }
 
-    /// True if the connection's other end is a member of the attempt.
-    fn member(&self, link: LinkId, attempt: Attempt) -> Option<String> {
+    /// Returns the name of the agent at the other end of `link` if it is a member of the attempt.
+    fn member_name(&self, link: LinkId, attempt: Attempt) -> Option<String> {
         let name = self.peers.get(&link)?;
-        let held = self.held.get(&attempt)?;
-        held.task.members.iter().any(|(worker, _)| worker == name).then(|| name.clone())
+        let grant = self.grants.get(&attempt)?;
+        grant.task.members.iter().any(|(worker, _)| worker == name).then(|| name.clone())
     }
 
-    /// A member runs, or has run to its end.
-    pub(crate) fn pulsed(&mut self, link: LinkId, attempt: Attempt, done: bool) {
-        if self.heard_member(link, attempt, done) {
-            let done = self.held.get(&attempt).is_some_and(|held| !held.live());
+    /// Handles a member's frame that it runs, or, with `done`, that it has completed.
+    pub(crate) fn on_pulse(&mut self, link: LinkId, attempt: Attempt, done: bool) {
+        if self.on_member_running(link, attempt, done) {
+            let done = self.grants.get(&attempt).is_some_and(|grant| !grant.is_active());
             self.send(link, Frame::Whole { attempt, done });
         }
     }
 
-    /// The first member runs, or has run to its end, and so does the gang.
-    pub(crate) fn whole(&mut self, link: LinkId, attempt: Attempt, done: bool) {
-        self.heard_member(link, attempt, done);
+    /// Handles the first member's frame that the gang is complete; with `done`, that the first
+    /// member has completed.
+    pub(crate) fn on_whole(&mut self, link: LinkId, attempt: Attempt, done: bool) {
+        self.on_member_running(link, attempt, done);
     }
 
-    /// Notes that a member was heard and starts with it. False if this part
-    /// does not run: the other one is told to stop.
-    fn heard_member(&mut self, link: LinkId, attempt: Attempt, done: bool) -> bool {
-        let Some(name) = self.member(link, attempt) else {
+    /// Records that a member runs and starts this worker's part if it was only prepared. Returns
+    /// false, after sending `Broken` to the member, if this part does not run.
+    fn on_member_running(&mut self, link: LinkId, attempt: Attempt, done: bool) -> bool {
+        let Some(name) = self.member_name(link, attempt) else {
             let reason = "this member does not hold it".to_owned();
             self.send(link, Frame::Broken { attempt, reason });
             return false;
         };
-        self.go(attempt);
-        let heard = if done { std::time::Duration::MAX } else { self.now };
-        let Some(held) = self.held.get_mut(&attempt) else { return false };
-        held.heard.insert(name.clone(), heard);
-        held.links.insert(name, link);
-        let sound = held.sound();
+        self.start(attempt);
+        let last_seen = if done { std::time::Duration::MAX } else { self.now };
+        let Some(grant) = self.grants.get_mut(&attempt) else { return false };
+        grant.last_seen.insert(name.clone(), last_seen);
+        grant.links.insert(name, link);
+        let sound = grant.is_sound();
         if !sound {
             let reason = "this member has stopped".to_owned();
             self.send(link, Frame::Broken { attempt, reason });
@@ -111,27 +113,32 @@
         sound
     }
 
-    /// Another member says that the gang is broken.
-    pub(crate) fn broken(&mut self, link: LinkId, attempt: Attempt, reason: &str) {
-        if self.member(link, attempt).is_none() {
+    /// Handles a member's frame that the gang is broken.
+    pub(crate) fn on_broken(&mut self, link: LinkId, attempt: Attempt, reason: &str) {
+        if self.member_name(link, attempt).is_none() {
             return;
         }
-        let running = self.held.get(&attempt).is_some_and(|held| held.state == State::Running);
+        let running = self.grants.get(&attempt).is_some_and(|grant| grant.state == State::Running);
         if running {
-            self.halt(attempt, std::time::Duration::ZERO, reason);
-            self.break_gang(attempt, reason);
+            self.stop_at_endpoint(attempt, std::time::Duration::ZERO, reason);
+            self.notify_broken_gang(attempt, reason);
         }
     }
 
-    /// Tells all other members that can be reached to stop.
-    pub(crate) fn break_gang(&mut self, attempt: Attempt, reason: &str) {
-        let Some(held) = self.held.get(&attempt) else { return };
-        if !held.gang() {
+    /// Sends `Broken` to all other members to which a connection is open.
+    pub(crate) fn notify_broken_gang(&mut self, attempt: Attempt, reason: &str) {
+        let Some(grant) = self.grants.get(&attempt) else { return };
+        if !grant.is_gang() {
             return;
         }
-        let me = self.worker().to_owned();
-        let others: Vec<String> =
-            held.task.members.iter().map(|(w, _)| w.clone()).filter(|w| *w != me).collect();
+        let this_worker = self.worker().to_owned();
+        let others: Vec<String> = grant
+            .task
+            .members
+            .iter()
+            .map(|(w, _)| w.clone())
+            .filter(|w| *w != this_worker)
+            .collect();
         for worker in others {
             if let Some(link) = self.link_to(attempt, &worker) {
                 self.send(link, Frame::Broken { attempt, reason: reason.to_owned() });
--- a/crates/grant/src/held.rs
+++ b/crates/grant/src/grant.rs
@@ -5,59 +5,59 @@
 
 use crate::input::End;
 
-/// An attempt that holds accelerators here, or whose end is not acknowledged.
-pub(crate) struct Held {
+/// An attempt that holds accelerators of this worker, or whose end the owner has not acknowledged.
+pub(crate) struct Grant {
     pub task: Task,
     pub state: State,
-    /// When the owner is asked or told again.
-    pub repeat: Duration,
-    /// Ends by rank.
+    /// When the next frame about this attempt is sent to the owner again.
+    pub resend_at: Duration,
+    /// How the ranks that have ended did so.
     pub ends: BTreeMap<u32, End>,
-    /// When each other member was last heard; the first member watches all,
-    /// the others watch the first.
-    pub heard: BTreeMap<String, Duration>,
+    /// When other members of the gang last sent a frame. The first member watches all others, and
+    /// they watch the first.
+    pub last_seen: BTreeMap<String, Duration>,
     pub next_pulse: Duration,
     /// Connections to other members.
     pub links: BTreeMap<String, LinkId>,
 }
 
-/// Where an attempt stands here.
+/// The state of an attempt at this worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum State {
     /// Granted, not started.
     Prepared,
-    /// Started.
+    /// Started at the endpoint.
     Running,
-    /// Being stopped; killed if it does not end by then.
-    Stopping { reason: String, kill: Duration },
-    /// Ended, not acknowledged.
+    /// Being stopped. If it has not ended at `kill_at`, it is stopped without grace.
+    Stopping { reason: String, kill_at: Duration },
+    /// Ended. The owner has not acknowledged the report.
     Ended(Report),
 }
 
-impl Held {
-    pub fn new(task: Task, state: State, now: Duration) -> Held {
-        Held {
+impl Grant {
+    pub fn new(task: Task, state: State, now: Duration) -> Grant {
+        Grant {
             task,
             state,
-            repeat: now,
+            resend_at: now,
             ends: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            last_seen: BTreeMap::new(),
             next_pulse: now,
             links: BTreeMap::new(),
         }
     }
 
-    /// True while it holds accelerators.
-    pub fn live(&self) -> bool {
+    /// Whether it holds accelerators.
+    pub fn is_active(&self) -> bool {
         !matches!(self.state, State::Ended(_))
     }
 
-    /// True while it runs or has run to its end here.
-    pub fn sound(&self) -> bool {
+    /// Whether it runs or has completed here, so that the gang is not broken by it.
+    pub fn is_sound(&self) -> bool {
         matches!(self.state, State::Running | State::Ended(Report::Done { .. }))
     }
 
-    pub fn gang(&self) -> bool {
+    pub fn is_gang(&self) -> bool {
         self.task.members.len() > 1
     }
 
@@ -70,25 +70,26 @@
         Inventory { task: self.task.clone(), phase }
     }
 
-    /// The report that the ends of all ranks make, once all have ended.
+    /// Combines the ends of all ranks into a report, or returns `None` while any rank runs. A rank
+    /// that did not complete decides the report.
     pub fn report(&self) -> Option<Report> {
         if self.ends.len() < self.task.ranks.len() {
             return None;
         }
-        let why = match &self.state {
+        let stop_reason = match &self.state {
             State::Stopping { reason, .. } => reason.clone(),
             _ => "stopped at the endpoint".to_owned(),
         };
         let first = self.ends.values().next()?;
-        let worst = self.ends.values().find(|end| !matches!(end, End::Done { .. }));
-        Some(match worst.unwrap_or(first) {
+        let incomplete = self.ends.values().find(|end| !matches!(end, End::Done { .. }));
+        Some(match incomplete.unwrap_or(first) {
             End::Done { result, object, digest } => Report::Done {
                 result: result.clone(),
                 object: object.clone(),
                 digest: digest.clone(),
             },
             End::Failed(reason) => Report::Failed { reason: reason.clone() },
-            End::Stopped => Report::Stopped { reason: why },
+            End::Stopped => Report::Stopped { reason: stop_reason },
             End::Lost(reason) => Report::Lost { reason: reason.clone() },
         })
     }
--- a/crates/grant/src/input.rs
+++ b/crates/grant/src/input.rs
@@ -1,72 +1,72 @@
 use quincewheel_wire::{Attempt, Frame, Hello, LinkId, Task};
 
-/// What a grantor is told.
+/// An event that a grantor handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The ownership row, as read from the table; `None` if the read failed.
+    /// The epoch and the owner's address from the ownership row, or `None` if the read failed.
     OwnerRow(Option<(u64, String)>),
-    /// Tasks that the endpoint already runs, as after a restart of the agent.
+    /// The tasks that the endpoint already runs when the agent starts.
     Recovered(Vec<Task>),
-    /// A connection was authenticated.
+    /// A connection was established and authenticated.
     Connected {
-        /// Names it within this process.
+        /// The id of the connection within this process.
         link: LinkId,
-        /// Who is at the other end.
+        /// The identity of the process at the other end.
         hello: Hello,
-        /// The address that was dialled; empty if the other end dialled.
+        /// The address that was dialled, or empty if the other end dialled.
         dialled: String,
     },
-    /// A connection is gone.
+    /// A connection was closed or lost.
     Disconnected {
         /// The connection.
         link: LinkId,
     },
-    /// A dial did not succeed.
+    /// Dialling an address failed.
     DialFailed {
         /// The address.
         address: String,
     },
-    /// A frame came.
+    /// A frame arrived.
     Frame {
-        /// On which connection.
+        /// The connection.
         link: LinkId,
         /// The frame.
         frame: Frame,
     },
-    /// The endpoint's part of an attempt ended.
+    /// A rank of an attempt ended at the endpoint.
     RankEnded {
         /// The attempt.
         attempt: Attempt,
-        /// The task's rank.
+        /// The rank.
         rank: u32,
         /// How it ended.
         end: End,
     },
-    /// What the endpoint says of itself.
+    /// The result of a health check of the endpoint.
     EndpointHealth {
-        /// It takes no new work.
+        /// Whether the endpoint accepts no new work.
         leaving: bool,
     },
-    /// The process is to end: finish what runs and take nothing new.
+    /// The process is to exit: accept no new attempts and let running ones end.
     Drain,
 }
 
-/// How a task ended at the endpoint.
+/// How a rank of a task ended at the endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum End {
-    /// With a result.
+    /// It completed with a result.
     Done {
-        /// The result, empty where it is an object.
+        /// The result, or empty if it is in the object store.
         result: Vec<u8>,
-        /// Name in the object store, or empty.
+        /// The result's name in the object store, or empty if it is inline.
         object: String,
-        /// SHA-256 of the whole result.
+        /// The SHA-256 digest of the result.
         digest: String,
     },
-    /// The endpoint said that it failed.
+    /// It failed, for the reason that the endpoint gave.
     Failed(String),
     /// It was stopped by request.
     Stopped,
-    /// The endpoint does not know what became of it.
+    /// Its outcome is unknown, for the given reason.
     Lost(String),
 }
--- a/crates/grant/src/lib.rs
+++ b/crates/grant/src/lib.rs
@@ -1,13 +1,13 @@
-//! The brain of an agent: the only grantor of its worker's accelerators.
+//! The state machine of an agent, which alone grants its worker's accelerators.
 //!
-//! [`Grantor`] performs no I/O. It is handed an [`Input`] and the time, and
-//! gives back [`Output`]s to carry out. It obeys the owner with the highest
-//! epoch it has seen and no other, starts only what it was told to start, and
-//! keeps how each part ended until the owner has recorded it.
+//! [`Grantor`] performs no I/O: it takes an [`Input`] and the time and returns the [`Output`]s to
+//! carry out. It follows the orders of the owner with the highest epoch that it has seen and of no
+//! other, starts only attempts that were ordered to start, and keeps the report of each end until
+//! the owner has recorded it.
 
 mod gang;
+mod grant;
 mod grantor;
-mod held;
 mod input;
 mod output;
 mod settings;
--- a/crates/grant/src/output.rs
+++ b/crates/grant/src/output.rs
@@ -3,19 +3,19 @@
 use quincewheel_audit::Kind;
 use quincewheel_wire::{Attempt, Frame, LinkId, Task};
 
-/// What a grantor wants done.
+/// An action for the agent process to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Read the ownership row.
     ReadOwner,
-    /// Connect to another process.
+    /// Connect to another process of the system.
     Dial {
-        /// Its address.
+        /// The address of that process.
         address: String,
     },
     /// Send a frame.
     Send {
-        /// On which connection.
+        /// The connection.
         link: LinkId,
         /// The frame.
         frame: Frame,
@@ -24,7 +24,7 @@
     Close {
         /// The connection.
         link: LinkId,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: &'static str,
     },
     /// Have the endpoint run all ranks of a task.
@@ -36,14 +36,14 @@
     Stop {
         /// The attempt.
         attempt: Attempt,
-        /// Time to checkpoint first.
+        /// How long the tasks may checkpoint before they are killed.
         grace: Duration,
     },
-    /// The endpoint may drop what it keeps of an attempt.
+    /// Have the endpoint delete its records of an attempt.
     Forget {
         /// The attempt.
         attempt: Attempt,
     },
-    /// Note an event.
+    /// Append an event to the event log.
     Event(Kind),
 }
--- a/crates/grant/src/settings.rs
+++ b/crates/grant/src/settings.rs
@@ -2,27 +2,27 @@
 
 use quincewheel_wire::Member;
 
-/// What a grantor is told when it starts.
+/// The settings of a grantor.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The worker.
+    /// The worker, as it is announced to the owner.
     pub member: Member,
-    /// Time between beats to the owner and between members of a gang.
+    /// Interval between heartbeats to the owner and between members of a gang.
     pub heartbeat_interval: Duration,
-    /// An owner not heard for this long is looked for anew.
+    /// An owner that sends nothing for this long is disconnected, and the owner is looked up again.
     pub owner_timeout: Duration,
-    /// A gang whose first member does not hear another, or that does not hear
-    /// its first member, for this long is broken.
+    /// A gang is broken if its first member receives nothing from another member, or another member
+    /// nothing from the first, for this long.
     pub gang_timeout: Duration,
-    /// Pause between looks at the ownership row while no owner is connected.
+    /// Interval between reads of the ownership row while no owner is connected.
     pub owner_poll_interval: Duration,
-    /// Longest such pause, while the table does not answer.
+    /// The longest such interval, reached by doubling it while the table does not answer.
     pub max_owner_poll_interval: Duration,
-    /// Seed of the jitter in those pauses.
+    /// The seed of the jitter of those intervals.
     pub seed: u64,
-    /// What awaits an answer of the owner is sent again after this time.
+    /// A frame that the owner has not answered is sent again after this time.
     pub retry_interval: Duration,
-    /// A task that did not end this long after its grace is stopped hard.
+    /// A task that did not end this long after its grace is stopped without grace.
     pub kill_delay: Duration,
 }
 
--- a/crates/grant/tests/fencing.rs
+++ b/crates/grant/tests/fencing.rs
@@ -1,4 +1,4 @@
-//! What an agent does with the words of earlier owners.
+//! How an agent treats orders of previous owners.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     }
 }
 
-fn attached() -> Grantor {
+fn grantor_with_owner() -> Grantor {
     let member = Member { worker: "worker".to_owned(), accelerators: 8, ..Member::default() };
     let mut grantor = Grantor::new(Settings { member, ..Settings::default() });
     grantor.handle(NOW, Input::Recovered(Vec::new()));
@@ -33,38 +33,38 @@
     grantor
 }
 
-fn frame(grantor: &mut Grantor, frame: Frame) -> String {
+/// Delivers a frame and returns the names of the outputs except events.
+fn deliver(grantor: &mut Grantor, frame: Frame) -> String {
     let outputs = grantor.handle(NOW, Input::Frame { link: 1, frame });
     let name = |output: &Output| match output {
         Output::Send { frame, .. } => frame.name(),
         Output::Close { .. } => "close",
         Output::Run { .. } => "run",
-        Output::Stop { .. } => "halt",
+        Output::Stop { .. } => "stop",
         _ => "other",
     };
     let names = outputs.iter().filter(|output| !matches!(output, Output::Event(_))).map(name);
     names.collect::<Vec<_>>().join(" ")
 }
 
-/// Symptom: work runs that the present owner placed elsewhere or gave up.
-/// Sequence: an owner that was replaced sends prepare, go and stop. Cause: an
-/// agent obeys whoever speaks.
+/// A previous owner sends orders after it was replaced. An agent that follows them runs work that
+/// the current owner has placed elsewhere or given up.
 #[test]
 fn an_earlier_epoch_is_fenced() {
     let attempt = Attempt::new(5, 1);
-    let old = [
+    let outdated = [
         Frame::Prepare { epoch: 4, task: task(Attempt::new(4, 9)) },
         Frame::Go { epoch: 4, attempt },
         Frame::Stop { epoch: 4, attempt, grace_ms: 0 },
         Frame::Forget { epoch: 4, attempt },
     ];
     let mut lines = Vec::new();
-    for late in old {
-        let mut grantor = attached();
-        frame(&mut grantor, Frame::Prepare { epoch: 5, task: task(attempt) });
-        let name = late.name();
-        lines.push(format!("{name}: {}", frame(&mut grantor, late)));
-        assert_eq!(grantor.granted_mask(), 1, "the present owner's grant stands");
+    for order in outdated {
+        let mut grantor = grantor_with_owner();
+        deliver(&mut grantor, Frame::Prepare { epoch: 5, task: task(attempt) });
+        let name = order.name();
+        lines.push(format!("{name}: {}", deliver(&mut grantor, order)));
+        assert_eq!(grantor.granted_mask(), 1, "the current owner's grant stands");
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
     prepare: fenced close
@@ -74,11 +74,10 @@
     ");
 }
 
-/// Symptom: an agent that was restarted starts work for an owner that was
-/// replaced. Sequence: it hears from that owner before it has read the row.
-/// Cause: an empty memory knows no epoch.
+/// A previous owner connects to a restarted agent before the agent has read the ownership row. The
+/// agent knows no epoch yet and must not start work for it.
 #[test]
-fn an_agent_that_has_not_read_the_row_obeys_nobody() {
+fn agent_follows_no_orders_before_it_has_read_the_ownership_row() {
     let mut grantor = Grantor::new(Settings::default());
     grantor.handle(NOW, Input::Recovered(Vec::new()));
     let hello = Hello { role: Role::Entry, name: "entry".to_owned(), incarnation: 1 };
@@ -86,17 +85,16 @@
     let outputs = grantor.handle(NOW, linked);
     assert!(outputs.iter().any(|output| matches!(output, Output::Close { .. })), "{outputs:?}");
     let prepare = Frame::Prepare { epoch: 9, task: task(Attempt::new(9, 1)) };
-    assert_eq!(frame(&mut grantor, prepare), "");
+    assert_eq!(deliver(&mut grantor, prepare), "");
     assert_eq!(grantor.granted_mask(), 0);
 }
 
-/// Symptom: a task starts twice at its worker. Sequence: prepare and go come
-/// again after the owner had the end acknowledged. Cause: what is forgotten
-/// looks new.
+/// Duplicated prepare and go frames arrive after the end was acknowledged. An agent that has
+/// forgotten the attempt would start it a second time.
 #[test]
 fn a_forgotten_attempt_does_not_start_again() {
     let attempt = Attempt::new(5, 1);
-    let mut grantor = attached();
+    let mut grantor = grantor_with_owner();
     let frames = [
         Frame::Prepare { epoch: 5, task: task(attempt) },
         Frame::Stop { epoch: 5, attempt, grace_ms: 0 },
@@ -107,7 +105,7 @@
     let mut lines = Vec::new();
     for next in frames {
         let name = next.name();
-        lines.push(format!("{name}: {}", frame(&mut grantor, next)));
+        lines.push(format!("{name}: {}", deliver(&mut grantor, next)));
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
     prepare: prepared
@@ -118,18 +116,17 @@
     ");
 }
 
-/// Symptom: two tasks on one accelerator. Sequence: an owner that believes it
-/// free, as after a takeover, prepares an attempt there. Cause: the owner's
-/// belief decides instead of the agent's grant.
+/// An owner that wrongly takes an accelerator for free, as after a takeover, prepares a second
+/// attempt there. The agent's own grants decide, so two tasks never share an accelerator.
 #[test]
 fn accelerators_are_granted_to_one_attempt() {
-    let mut grantor = attached();
+    let mut grantor = grantor_with_owner();
     let (first, second) = (Attempt::new(5, 1), Attempt::new(5, 2));
     let mut other = task(second);
     other.ranks = vec![(0, 0b11)];
     let names = [
-        frame(&mut grantor, Frame::Prepare { epoch: 5, task: task(first) }),
-        frame(&mut grantor, Frame::Prepare { epoch: 5, task: other }),
+        deliver(&mut grantor, Frame::Prepare { epoch: 5, task: task(first) }),
+        deliver(&mut grantor, Frame::Prepare { epoch: 5, task: other }),
     ];
     assert_eq!(names, ["prepared", "declined announce"]);
     assert_eq!(grantor.granted_mask(), 1);
