--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -84,7 +84,7 @@
     runtime.block_on(async move {
         let settings = runner_settings(&config.bounds);
         let agent = Rc::new(Agent {
-            runner: RefCell::new(Runner::open(settings)),
+            runner: RefCell::new(Runner::new(settings)),
             hub,
             worker_client: platform::WorkerClient::build(),
             metrics,
@@ -167,7 +167,7 @@
     };
     let table = Table::new(&config.table_address, Rc::new(skip));
     let log_failure = |error: &Error| log::warn!(event = "table"; "{error}");
-    let mut announcement = Announcement::open();
+    let mut announcement = Announcement::unwritten();
     loop {
         let now = quincewheel_clock::boot();
         let incarnations = agent.runner.borrow().incarnation_count();
@@ -210,7 +210,7 @@
         let now = quincewheel_clock::boot();
         match event {
             Event::Frame { link, frame } => agent.runner.borrow_mut().on_order(link, frame, now),
-            Event::Unlinked { link } => agent.runner.borrow_mut().on_disconnect(link),
+            Event::Unlinked { link } => agent.runner.borrow_mut().on_disconnected(link),
             Event::Linked { .. } | Event::Undialled { .. } => {}
         }
         carry_out(&agent);
@@ -234,7 +234,7 @@
 
 /// Carries out the runner's outputs.
 fn carry_out(agent: &Rc<Agent>) {
-    let outputs = agent.runner.borrow_mut().outputs();
+    let outputs = agent.runner.borrow_mut().take_outputs();
     for output in outputs {
         match output {
             Output::Send { link, notice } => {
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The picture that one round of decisions works on.
+//! The snapshot of workers and their free capacity that one round of planning works on.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,33 +11,34 @@
 use crate::owner::Owner;
 use crate::reports::task_key;
 use crate::suspects::RecentStart;
-use crate::tally::Bar;
+use crate::tally::Restriction;
 
-/// Workers, what is free on them, and what could be taken away.
+/// Open workers, their free capacity, and the work on them that may be preempted. A round of
+/// planning updates it as it places tasks.
 pub(crate) struct Snapshot {
-    /// The workers that take work.
+    /// The workers that accept runs.
     pub spots: Vec<WorkerState>,
-    /// What is truly free, reservations not taken away.
+    /// Free capacity of each worker, reservations not deducted.
     pub actual_free: Vec<Resources>,
-    /// The runs of each unit that stops as a whole.
+    /// The runs of each unit. A unit can only be stopped as a whole.
     pub units: BTreeMap<u64, Vec<(Id, Key)>>,
-    /// Places at which something has just started.
+    /// Workers that have just started a task, by place.
     pub recent_starts: BTreeMap<usize, RecentStart>,
 }
 
-/// Places that a step leaves free, by why.
+/// Places that a step must not use, by reason.
 #[derive(Debug, Default)]
-pub(crate) struct Barred {
-    /// It is not cleared for the workers.
+pub(crate) struct Exclusions {
+    /// The step is not cleared for the workers.
     pub uncleared: Vec<usize>,
-    /// Its tasks failed there.
+    /// The step's tasks have failed there recently.
     pub avoided: Vec<usize>,
-    /// A crash there could not be told from another's.
+    /// A crash there could not be attributed to one task.
     pub apart: Vec<usize>,
 }
 
-impl Barred {
-    /// All of them.
+impl Exclusions {
+    /// Returns all excluded places, sorted and without duplicates.
     pub fn places(&self) -> Vec<usize> {
         let mut places = [&self.uncleared[..], &self.avoided, &self.apart].concat();
         places.sort_unstable();
@@ -47,19 +48,19 @@
 }
 
 impl Snapshot {
-    /// Hides workers that a step is not cleared for.
+    /// Takes the workers at these places out, so that nothing fits there, and returns them.
     pub fn hide(&mut self, places: &[usize]) -> Vec<(usize, WorkerState)> {
         places.iter().map(|&place| (place, std::mem::take(&mut self.spots[place]))).collect()
     }
 
-    /// Shows again what [`Snapshot::hide`] took.
+    /// Puts back the workers that [`Snapshot::hide`] returned.
     pub fn show(&mut self, hidden: Vec<(usize, WorkerState)>) {
         for (place, spot) in hidden {
             self.spots[place] = spot;
         }
     }
 
-    /// All places, those first at which the least runs.
+    /// Returns all places, those with the fewest accelerators and CPUs in use first.
     pub fn least_used(&self) -> Vec<usize> {
         let used = |place: &usize| {
             let (spot, free) = (&self.spots[*place], self.spots[*place].free);
@@ -71,27 +72,27 @@
         places
     }
 
-    /// What bars a step from each place; empty if nothing does anywhere.
-    pub fn bars(&self, spared: &[usize], barred: &Barred) -> Vec<Bar> {
+    /// Returns the restriction that applies to a step at each place; empty if there is none at all.
+    pub fn restrictions(&self, spared: &[usize], excluded: &Exclusions) -> Vec<Restriction> {
         let kinds = [
-            (spared, Bar::Spared),
-            (&barred.uncleared, Bar::Uncleared),
-            (&barred.avoided, Bar::Avoided),
-            (&barred.apart, Bar::Apart),
+            (spared, Restriction::Spared),
+            (&excluded.uncleared, Restriction::Uncleared),
+            (&excluded.avoided, Restriction::Avoided),
+            (&excluded.apart, Restriction::Apart),
         ];
         if kinds.iter().all(|(places, _)| places.is_empty()) {
             return Vec::new();
         }
-        let mut bars = vec![Bar::Open; self.spots.len()];
-        for (places, bar) in kinds {
-            places.iter().for_each(|&place| bars[place] = bar);
+        let mut restrictions = vec![Restriction::None; self.spots.len()];
+        for (places, restriction) in kinds {
+            places.iter().for_each(|&place| restrictions[place] = restriction);
         }
-        bars
+        restrictions
     }
 }
 
 impl Owner {
-    /// The workers as they are.
+    /// Takes a snapshot of the open workers and the runs on them.
     pub(crate) fn snapshot(&self, now: u64) -> Snapshot {
         let mut spots: Vec<WorkerState> = Vec::new();
         let mut places: BTreeMap<&str, usize> = BTreeMap::new();
@@ -109,7 +110,7 @@
                 rack: worker.rack.clone(),
                 labels: worker.labels.clone(),
                 capacity: worker.capacity,
-                free: self.left_by_strays(agent, worker.capacity),
+                free: self.capacity_without_strays(agent, worker.capacity),
                 stopping: Resources::default(),
                 ending: Resources::default(),
                 deprioritized: agent.doubted_until.max(agent.cold_until) > now
@@ -117,7 +118,7 @@
                 preemptible: Vec::new(),
             });
         }
-        let borrowed = self.borrowed();
+        let borrowed = self.borrowed_units();
         let mut taken = BTreeMap::new();
         let mut units: BTreeMap<u64, Vec<(Id, Key)>> = BTreeMap::new();
         let mut fresh: BTreeMap<usize, RecentStart> = BTreeMap::new();
@@ -136,8 +137,8 @@
                     0 => Protection::Borrowed,
                     _ => Protection::Lower,
                 };
-                // One that gave its guaranteed room up once does not again: all would begin, and
-                // none end.
+                // Guaranteed work is preempted only once. Otherwise jobs could preempt each
+                // other in turn, so that all begin and none ends.
                 let yields = hold != Protection::Guaranteed
                     || (entry.has_begun && !entry.guarantee_preempted);
                 let ending = !step.perpetual && entry.unit_ends_soon(placed, &self.settings, now);
@@ -146,7 +147,7 @@
                 }
                 if placed.phase == Phase::Stopping {
                     spots[place].stopping.add(&need);
-                } else if yields && self.may_yield(id, *key, &mut taken) {
+                } else if yields && self.may_be_stopped(id, *key, &mut taken) {
                     let loss = preemption_loss(step, now.saturating_sub(placed.started_at));
                     let unit = placed.unit;
                     spots[place].preemptible.push(Preemptible {
@@ -163,10 +164,10 @@
         Snapshot { spots, actual_free: actual, units, recent_starts: fresh }
     }
 
-    /// What runs that nobody waits for leave of a worker's capacity until their stops are
-    /// through; nothing if it is not known what one of them takes. A worker that does not
-    /// check for itself would be given more than it has.
-    fn left_by_strays(&self, agent: &Agent, capacity: Resources) -> Resources {
+    /// Returns a worker's capacity less that of its stray runs, which occupy it until they have
+    /// stopped; none if the requirements of one of them are not known. A worker that does not
+    /// check its capacity itself would otherwise be given more than fits.
+    fn capacity_without_strays(&self, agent: &Agent, capacity: Resources) -> Resources {
         let mut left = capacity;
         for task in &agent.strays {
             let step = self.jobs.get(&task.job).and_then(|entry| entry.step(task_key(task)));
@@ -176,9 +177,9 @@
         left
     }
 
-    /// True if the run may be taken away at all: of a step that lasts, only as
-    /// many as may be missing at one time.
-    fn may_yield(&self, id: &Id, key: Key, taken: &mut BTreeMap<(Id, u32, u32), u32>) -> bool {
+    /// Returns whether the run may be preempted at all. Of a perpetual step, only as many runs
+    /// may be stopped as may be missing at the same time.
+    fn may_be_stopped(&self, id: &Id, key: Key, taken: &mut BTreeMap<(Id, u32, u32), u32>) -> bool {
         let step = self.jobs.get(id).and_then(|entry| entry.step(key));
         if !step.is_some_and(|step| step.perpetual && step.may_miss > 0) {
             return true;
@@ -189,9 +190,9 @@
         *taken <= spare
     }
 
-    /// Units of priority 0 that their team holds beyond its guarantee: the
-    /// ones that it started last.
-    fn borrowed(&self) -> BTreeSet<u64> {
+    /// Returns the units of priority 0 that exceed their team's guarantee, which are those that
+    /// the team started last.
+    fn borrowed_units(&self) -> BTreeSet<u64> {
         let mut units: BTreeMap<u64, (&str, u64)> = BTreeMap::new();
         for entry in self.jobs.values().filter(|entry| entry.job.queue.priority == 0) {
             for (key, placed) in &entry.runs {
@@ -203,7 +204,7 @@
         self.guarantees().borrowed_units(units)
     }
 
-    /// What teams are guaranteed, of which nothing is taken.
+    /// Returns the teams' guarantees with nothing in use.
     pub(crate) fn guarantees(&self) -> Guarantees<impl Fn(&str) -> u64> {
         let teams = &self.config.teams;
         Guarantees::new(|team: &str| teams.get(team).map_or(0, |team| team.guaranteed))
