--- a/crates/entry/src/site.rs
+++ b/crates/entry/src/site.rs
@@ -1,28 +1,29 @@
-//! An entry on the users' platform.
+//! Entry of a deployment on the users' platform.
 //!
-//! Two threads beside the hub's: one takes clients' calls, the other follows
-//! the table, answers, and, if this entry owns the deployment, decides.
+//! Besides the hub's thread there are two: one accepts clients' calls; the other follows the
+//! table, computes the replies and, while this entry owns the deployment, makes the scheduling
+//! decisions.
 
-mod advise;
-mod asks;
+mod backoff;
 mod calls;
-mod dials;
+mod clearance;
+mod client_call;
 mod evacuation;
 mod follow;
+mod forward;
 mod gate;
 mod handover;
+mod job_events;
+mod job_state;
 mod links;
-mod looks;
+mod machines;
 mod metrics;
-mod news;
-mod own;
+mod ownership;
+mod queries;
 mod record;
 mod rpc;
-mod skips;
+mod skipped;
 mod state;
-mod stores;
-mod upkeep;
-mod work;
 
 use std::io;
 use std::path::Path;
@@ -39,19 +40,19 @@
 use quincewheel_wire::{Hello, Key, Notice, Role, Sent};
 use tokio::sync::oneshot;
 
+use self::client_call::{ClientCall, Protocol};
 use self::gate::Gate;
 use self::metrics::Metrics;
 use self::state::{Shared, Site};
-use self::work::{Form, Work};
 
-/// Calls that may wait for the deciding thread; more are refused at once.
-const WORK: usize = 4096;
-/// Frames of agents that may wait for the deciding thread.
-const PEERS: usize = 4096;
-/// Largest body that is read at all; the configuration may allow less.
-const MAX_BODY: usize = 1 << 20;
+/// Capacity of the queue of calls to the decision thread; calls beyond it are refused at once.
+const MAX_QUEUED_CALLS: usize = 4096;
+/// Capacity of the queue of frames from other processes to the decision thread.
+const MAX_QUEUED_FRAMES: usize = 4096;
+/// Upper bound on a request body in bytes; the configuration may set a lower one.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Serves until the process is told to end.
+/// Serves until the process receives a signal to terminate.
 pub(crate) fn serve(settings: &Path, own: &Own) -> io::Result<()> {
     let site = platform::read(settings).map_err(io::Error::other)?;
     let Some(entry) = site.entry.clone() else {
@@ -61,36 +62,36 @@
     };
     quincewheel_log::open_lines(&site.name, own.log_level).map_err(io::Error::other)?;
     let incarnation: u64 = rand::random();
-    let (work, work_in) = ring::open::<Work>(WORK);
-    let (peers, peers_in) = ring::open::<Event<Notice>>(PEERS);
+    let (calls, calls_in) = ring::open::<ClientCall>(MAX_QUEUED_CALLS);
+    let (peers, peers_in) = ring::open::<Event<Notice>>(MAX_QUEUED_FRAMES);
     let hello = Hello { role: Role::Entry, name: site.name.clone(), incarnation };
     let key = Key::new(own.fleet_key.as_bytes());
     let hub: Hub<Sent> =
         Hub::bind(&site.peers, key, hello, peers, |event| event).map_err(io::Error::other)?;
     let gate = Arc::new(Gate::default());
-    let entrance = Arc::clone(&gate);
-    let metrics = Arc::new(Metrics::open());
-    let shown = Arc::clone(&metrics);
+    let call_gate = Arc::clone(&gate);
+    let metrics = Arc::new(Metrics::new());
+    let served_metrics = Arc::clone(&metrics);
     let metrics_address = format!("{}:{}", site.ip, own.metrics_port);
     let addresses = [&entry.callers, &entry.ready, &metrics_address].map(String::as_str);
     Server::bind_all("callers", &addresses, move |request| {
-        take(request, work.clone(), Arc::clone(&entrance), Arc::clone(&shown))
+        serve_request(request, calls.clone(), Arc::clone(&call_gate), Arc::clone(&served_metrics))
     })?;
     log::info!(event = "start", zone = site.zone.as_str(), peers = site.peers.as_str(); "entry");
     let path = settings.to_owned();
     let runtime = actix_rt::Runtime::new()?;
     runtime.block_on(async move {
-        let shared: Shared = Rc::new(Site::open(site, incarnation, hub, gate, metrics));
+        let shared: Shared = Rc::new(Site::new(site, incarnation, hub, gate, metrics));
         actix_rt::spawn(links::announce(Rc::clone(&shared)));
-        actix_rt::spawn(follow::configuration(Rc::clone(&shared)));
-        actix_rt::spawn(follow::own_rows(Rc::clone(&shared)));
-        actix_rt::spawn(links::listen(Rc::clone(&shared), peers_in));
-        actix_rt::spawn(own::run(Rc::clone(&shared)));
-        actix_rt::spawn(advise::run(Rc::clone(&shared)));
-        actix_rt::spawn(upkeep::run(Rc::clone(&shared)));
-        actix_rt::spawn(answer(Rc::clone(&shared), work_in));
-        actix_rt::spawn(own::watch(Rc::clone(&shared), path.clone()));
-        quincewheel_conf::ending(|| own::reload(&shared, &path)).await?;
+        actix_rt::spawn(follow::follow_operator_rows(Rc::clone(&shared)));
+        actix_rt::spawn(follow::follow_own_rows(Rc::clone(&shared)));
+        actix_rt::spawn(links::process_events(Rc::clone(&shared), peers_in));
+        actix_rt::spawn(ownership::run(Rc::clone(&shared)));
+        actix_rt::spawn(clearance::run(Rc::clone(&shared)));
+        actix_rt::spawn(machines::run(Rc::clone(&shared)));
+        actix_rt::spawn(serve_calls(Rc::clone(&shared), calls_in));
+        actix_rt::spawn(ownership::watch_settings(Rc::clone(&shared), path.clone()));
+        quincewheel_conf::ending(|| ownership::reload_settings(&shared, &path)).await?;
         let grace = Duration::from_millis(shared.bounds.get().grace);
         drain(&shared, grace).await;
         log::info!(event = "stop"; "ended");
@@ -98,10 +99,11 @@
     })
 }
 
-/// Hands a call to the deciding thread and waits for its answer.
-async fn take(
+/// Answers an HTTP request: the metrics and readiness pages directly, a call through the decision
+/// thread.
+async fn serve_request(
     mut request: Request,
-    work: ring::Sender<Work>,
+    calls: ring::Sender<ClientCall>,
     gate: Arc<Gate>,
     metrics: Arc<Metrics>,
 ) -> Reply {
@@ -113,7 +115,7 @@
         return quincewheel_http::reply(status, "text/plain", "");
     }
     gate.enter();
-    let mut reply = pass(&mut request, &work).await;
+    let mut reply = execute(&mut request, &calls).await;
     gate.leave();
     if gate.closing() {
         quincewheel_http::close(&mut reply);
@@ -121,51 +123,51 @@
     reply
 }
 
-async fn pass(request: &mut Request, work: &ring::Sender<Work>) -> Reply {
-    let form = Form::of(request);
+async fn execute(request: &mut Request, calls: &ring::Sender<ClientCall>) -> Reply {
+    let protocol = Protocol::from_request(request);
     let (reply, answer) = oneshot::channel();
-    let body = quincewheel_http::read(request, MAX_BODY).await;
-    if work.try_send(Work { form: form.clone(), body, reply }).is_err() {
-        return form.encode(&Answer::Unavailable(1000));
+    let body = quincewheel_http::read(request, MAX_BODY_BYTES).await;
+    if calls.try_send(ClientCall { protocol: protocol.clone(), body, reply }).is_err() {
+        return protocol.encode(&Answer::Unavailable(1000));
     }
-    form.encode(&answer.await.unwrap_or(Answer::Unclear))
+    protocol.encode(&answer.await.unwrap_or(Answer::Unclear))
 }
 
-async fn answer(shared: Shared, work: ring::Receiver<Work>) {
-    while let Some(item) = work.recv().await {
+async fn serve_calls(shared: Shared, calls: ring::Receiver<ClientCall>) {
+    while let Some(call) = calls.recv().await {
         let shared = Rc::clone(&shared);
         actix_rt::spawn(async move {
-            let answer = calls::answer(&shared, &item).await;
-            // A client that went away needs no answer.
-            let _ = item.reply.send(answer);
+            let answer = calls::execute(&shared, &call).await;
+            // The receiver is dropped if the client has disconnected.
+            let _ = call.reply.send(answer);
         });
     }
 }
 
-/// Hands the ownership over at once and serves open connections for as long
-/// as the platform allows: clients keep using them until the process is gone.
+/// Hands over the ownership at once and keeps serving open connections for the grace period that
+/// the platform allows, since clients use them until the process exits.
 async fn drain(shared: &Shared, grace: Duration) {
     log::info!(event = "drain"; "shutting down");
-    let begin = tokio::time::Instant::now();
+    let started_at = tokio::time::Instant::now();
     shared.gate.drain();
-    // A table that does not answer holds the hand-over up for over a second,
-    // which must not be added to the time: the process would be killed with
-    // calls in flight.
+    // The sleep below ends at a fixed time from the start: handing over takes more than a second
+    // if the table does not answer, and adding that to the grace period would get the process
+    // killed with calls in flight.
     handover::hand_over(shared).await;
-    actix_rt::spawn(links::retire(Rc::clone(shared)));
-    tokio::time::sleep_until(begin + grace.saturating_sub(CLOSING)).await;
+    actix_rt::spawn(links::announce_leaving(Rc::clone(shared)));
+    tokio::time::sleep_until(started_at + grace.saturating_sub(CLOSING_PERIOD)).await;
     shared.gate.close();
-    // A table that is slow must not cost the time that the last calls have.
-    let _ = tokio::time::timeout(LAST, handover::hand_over(shared)).await;
-    let end = tokio::time::Instant::now() + LAST;
-    tokio::time::sleep(LAST / 2).await;
+    // The timeout keeps a slow table from using up the time of the last calls.
+    let _ = tokio::time::timeout(FINAL_PERIOD, handover::hand_over(shared)).await;
+    let end = tokio::time::Instant::now() + FINAL_PERIOD;
+    tokio::time::sleep(FINAL_PERIOD / 2).await;
     while shared.gate.active() > 0 && tokio::time::Instant::now() < end {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// What is left of the time for shutting down when clients are asked to leave
-/// with each answer. Covers the second hand-over and the last calls.
-const CLOSING: Duration = Duration::from_millis(1200);
-/// The longest time for the calls that are then still without an answer.
-const LAST: Duration = Duration::from_millis(500);
+/// Part of the grace period in which each reply closes its connection. Covers the second attempt
+/// to hand over and the last calls.
+const CLOSING_PERIOD: Duration = Duration::from_millis(1200);
+/// Time limit for calls that are still in flight at the end.
+const FINAL_PERIOD: Duration = Duration::from_millis(500);
--- a/crates/entry/src/site/calls.rs
+++ b/crates/entry/src/site/calls.rs
@@ -1,4 +1,4 @@
-//! Answers clients' calls.
+//! Executes clients' calls.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -10,79 +10,80 @@
 use quincewheel_store::{Change, Commit, Error, Read};
 use quincewheel_wire::{Peer, Verdict};
 
-use super::looks;
-use super::news;
+use super::client_call::ClientCall;
+use super::forward;
+use super::job_events;
+use super::job_state;
 use super::state::{Shared, Site};
-use super::stores;
-use super::work::Work;
 
-/// A call to the table without an answer is given up after this time. A slow
-/// table writes within some 450 ms; clients wait for 3 s and do better to ask
-/// elsewhere than to be held here.
-const TIMEOUT: Duration = Duration::from_millis(900);
-/// For so many milliseconds an entry goes on trying to write a submission whose
-/// first write got no answer: the row may be there, and only another write
-/// tells. Clients wait for 3,000, and ask again at once if told "unclear".
-const SETTLE: u64 = 2000;
-/// Pause between two such tries.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Time limit for a call to the table. A slow table takes about 450 ms for a write. Clients wait
+/// for 3 s, and are served sooner by retrying at another entry than by waiting here.
+const TABLE_TIMEOUT: Duration = Duration::from_millis(900);
+/// How long an entry retries a submission whose first write got no reply, in milliseconds. The row
+/// may have been written, and only another write can confirm it. Clients wait for 3,000 ms and
+/// repeat the call at once after an "unclear" reply.
+const CONFIRMATION_TIMEOUT_MS: u64 = 2000;
+/// Delay between two of these retries.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Answers one call, and logs what did not go well.
-pub(crate) async fn answer(shared: &Shared, work: &Work) -> Answer {
-    let began = quincewheel_clock::boot();
-    let target = find(shared, work);
-    let call = target.as_ref().ok().map(|target| target.call.clone());
+/// Executes one call and logs it if it was not successful.
+pub(crate) async fn execute(shared: &Shared, call: &ClientCall) -> Answer {
+    let started_at = quincewheel_clock::boot();
+    let target = resolve_target(shared, call);
+    let executed = target.as_ref().ok().map(|target| target.call.clone());
     let answer = match target {
-        Ok(target) => truthful(shared, &target.call, decide(shared, work, &target).await),
-        Err(answer) => unfound(shared, work, answer),
+        Ok(target) => resolve_answer(shared, &target.call, dispatch(shared, call, &target).await),
+        Err(answer) => resolve_rejected(shared, call, answer),
     };
-    let ms = quincewheel_clock::boot() - began;
-    let method = work.form.method();
-    shared.metrics.count(method, &answer, ms);
+    let ms = quincewheel_clock::boot() - started_at;
+    let method = call.protocol.method();
+    shared.metrics.count_call(method, &answer, ms);
     if !answer.served() {
-        let id = call.as_ref().and_then(Call::id).unwrap_or_default();
-        let age = began.saturating_sub(shared.proved.get());
+        let id = executed.as_ref().and_then(Call::id).unwrap_or_default();
+        let age = started_at.saturating_sub(shared.config_confirmed_at.get());
         let version = shared.config.borrow().as_ref().map_or(0, |config| config.version);
         log::info!(event = "refused", job = id, method = method, ms = ms, config = version, age = age; "{answer:?}");
     }
     answer
 }
 
-/// A call that was refused before it was looked at: the job that it submits may
-/// all the same have been written by an earlier try.
-fn unfound(shared: &Site, work: &Work, answer: Answer) -> Answer {
+/// Checks a call that was refused before it was executed: an earlier attempt may have written the
+/// job that it submits.
+fn resolve_rejected(shared: &Site, call: &ClientCall, answer: Answer) -> Answer {
     let config = shared.config.borrow();
-    let target = config.as_ref().map(|config| work.form.target(config, &work.body));
+    let target = config.as_ref().map(|config| call.protocol.target(config, &call.body));
     match target {
-        Some(Ok(target)) => truthful(shared, &target.call, answer),
+        Some(Ok(target)) => resolve_answer(shared, &target.call, answer),
         _ => answer,
     }
 }
 
-/// A submission may be called not accepted only if no earlier write for it at
-/// this entry may have taken effect.
-fn truthful(shared: &Site, call: &Call, answer: Answer) -> Answer {
+/// Replaces "unavailable" by "unclear" for a submission if an earlier write of it at this entry
+/// may have taken effect.
+fn resolve_answer(shared: &Site, call: &Call, answer: Answer) -> Answer {
     let Call::Submit { id } = call else { return answer };
     let now = quincewheel_clock::boot();
     match answer {
         Answer::Accepted => {
-            shared.unsettled.borrow_mut().resolve(id);
+            shared.unanswered_writes.borrow_mut().resolve(id);
             Answer::Accepted
         }
-        Answer::Unavailable(_) if shared.unsettled.borrow().contains(id, now) => Answer::Unclear,
+        Answer::Unavailable(_) if shared.unanswered_writes.borrow().contains(id, now) => {
+            Answer::Unclear
+        }
         answer => answer,
     }
 }
 
-async fn decide(shared: &Shared, work: &Work, target: &Target) -> Answer {
+async fn dispatch(shared: &Shared, call: &ClientCall, target: &Target) -> Answer {
     match &target.call {
         Call::Waiting => Answer::Waiting(shared.mirror.borrow().queued_jobs(&target.queue.name)),
-        Call::State { id } => tell_state(shared, target, id).await,
+        Call::State { id } => query_state(shared, target, id).await,
         Call::Cancel { id } => cancel(shared, target, id).await,
-        Call::Submit { id } => match &work.body {
+        Call::Submit { id } => match &call.body {
             Body::Cut => Answer::Invalid("the body ended early".to_owned()),
             Body::Oversized => Answer::Oversized,
-            Body::Whole(body) => match work.form.job(target, body, quincewheel_clock::wall()) {
+            Body::Whole(body) => match call.protocol.job(target, body, quincewheel_clock::wall()) {
                 Ok(job) => submit(shared, target, id, job).await,
                 Err(text) => Answer::Invalid(text),
             },
@@ -90,205 +91,209 @@
     }
 }
 
-fn find(shared: &Site, work: &Work) -> Result<Target, Answer> {
+fn resolve_target(shared: &Site, call: &ClientCall) -> Result<Target, Answer> {
     let config = shared.config.borrow();
-    let Some(config) = config.as_ref() else { return Err(busy(shared)) };
-    let target = work.form.target(config, &work.body)?;
-    if target.keyed && !shared.current(quincewheel_clock::boot()) {
-        return Err(busy(shared));
+    let Some(config) = config.as_ref() else { return Err(unavailable(shared)) };
+    let target = call.protocol.target(config, &call.body)?;
+    if target.keyed && !shared.is_config_current(quincewheel_clock::boot()) {
+        return Err(unavailable(shared));
     }
-    match &work.body {
+    match &call.body {
         Body::Whole(body) if body.len() > config.body => Err(Answer::Oversized),
         _ => Ok(target),
     }
 }
 
-/// Stores a job. One row a job: the same one again finds it there.
+/// Stores a job under its own row, so that a repeated submission finds it.
 async fn submit(shared: &Site, target: &Target, id: &str, job: Job) -> Answer {
-    if let Some(answer) = known(shared, target, id) {
+    if let Some(answer) = find_accepted(shared, target, id) {
         return answer;
     }
-    let began = quincewheel_clock::boot();
+    let started_at = quincewheel_clock::boot();
     match store(shared, id, &job).await {
         Ok(stored) => {
-            accepted(shared, id, job, stored, quincewheel_clock::boot() - began);
+            on_stored(shared, id, job, stored, quincewheel_clock::boot() - started_at);
             Answer::Accepted
         }
-        Err(Error::Conflict { .. }) => match look(shared, id).await {
-            Ok(Some(view)) if owned(&view, target) => Answer::Accepted,
+        Err(Error::Conflict { .. }) => match read_job(shared, id).await {
+            Ok(Some(view)) if belongs_to(&view, target) => Answer::Accepted,
             Ok(_) => Answer::Invalid("another team's job has this name".to_owned()),
-            // The row is there, whoever wrote it: this is no refusal.
+            // The row exists, whichever entry wrote it, so the submission is not refused.
             Err(_) => Answer::Unclear,
         },
-        Err(error) => failed(shared, &error),
+        Err(error) => failure_answer(shared, &error),
     }
 }
 
-/// How a job was stored.
+/// Which entry stored a job.
 #[derive(Clone, Copy)]
 enum Stored {
-    /// By this entry, at this version.
-    Here(u64),
-    /// By another entry, which tells the owner; the version is known if it was stored now.
-    Elsewhere(Option<u64>),
+    /// This entry, at this version.
+    Local(u64),
+    /// Another entry, which notifies the owner. The version is present if the row was written now,
+    /// and absent if it existed before.
+    Forwarded(Option<u64>),
 }
 
-/// Writes a job's row, or has another entry write it where the table does not answer
-/// this one.
+/// Writes a job's row, or forwards the write to another entry if the table does not answer this
+/// one.
 async fn store(shared: &Site, id: &str, job: &Job) -> Result<Stored, Error> {
-    let commit = stores::job_row(id, job);
-    let mut here = pin!(store_here(shared, id, &commit));
-    let ask = |number| Peer::Store { number, id: id.to_owned(), job: job.clone() };
-    let mut elsewhere = pin!(stores::elsewhere(shared, id, ask));
-    let result = match tokio::time::timeout(stores::HEDGE, &mut here).await {
+    let commit = forward::job_commit(id, job);
+    let mut local = pin!(store_locally(shared, id, &commit));
+    let request = |number| Peer::Store { number, id: id.to_owned(), job: job.clone() };
+    let mut forwarded = pin!(forward::forward_write(shared, id, request));
+    let result = match tokio::time::timeout(forward::FORWARDING_DELAY, &mut local).await {
         Ok(result) => result,
         Err(_) => tokio::select! {
-            result = &mut here => result,
-            verdict = &mut elsewhere => match settled(verdict) {
+            result = &mut local => result,
+            verdict = &mut forwarded => match final_result(verdict) {
                 Some(result) => return result,
-                None => return here.await.map(Stored::Here),
+                None => return local.await.map(Stored::Local),
             },
         },
     };
     match result {
         Err(error @ (Error::Refused { .. } | Error::Unclear { .. })) => {
-            settled(elsewhere.await).unwrap_or(Err(error))
+            final_result(forwarded.await).unwrap_or(Err(error))
         }
-        result => result.map(Stored::Here),
+        result => result.map(Stored::Local),
     }
 }
 
-/// What another entry's verdict means; none if this entry's own write decides.
-fn settled(verdict: Verdict) -> Option<Result<Stored, Error>> {
+/// Converts another entry's verdict; `None` if this entry's own write decides.
+fn final_result(verdict: Verdict) -> Option<Result<Stored, Error>> {
     match verdict {
-        Verdict::Stored(version) => Some(Ok(Stored::Elsewhere(Some(version)))),
-        Verdict::Known => Some(Ok(Stored::Elsewhere(None))),
+        Verdict::Stored(version) => Some(Ok(Stored::Forwarded(Some(version)))),
+        Verdict::Known => Some(Ok(Stored::Forwarded(None))),
         Verdict::Foreign => Some(Err(Error::Conflict { key: String::new() })),
         Verdict::Refused | Verdict::Unclear => None,
     }
 }
 
-/// Writes a job's row. Once a write got no answer, tries go on for a while even
-/// where the table is lost: only another one tells what became of it.
-async fn store_here(shared: &Site, id: &str, commit: &Commit) -> Result<u64, Error> {
-    let begun = quincewheel_clock::boot();
+/// Writes a job's row. After a write without a reply, it retries for a while even if the table is
+/// lost, since only another write shows whether the first one took effect.
+async fn store_locally(shared: &Site, id: &str, commit: &Commit) -> Result<u64, Error> {
+    let started_at = quincewheel_clock::boot();
     loop {
         let now = quincewheel_clock::boot();
-        let unsettled = shared.unsettled.borrow().contains(id, now);
-        let result = match unsettled {
-            true => attempt(shared, commit).await,
-            false => write(shared, commit).await,
+        let unanswered = shared.unanswered_writes.borrow().contains(id, now);
+        let result = match unanswered {
+            true => commit_once(shared, commit).await,
+            false => commit_if_reachable(shared, commit).await,
         };
         if matches!(result, Err(Error::Unclear { .. })) {
-            shared.unsettled.borrow_mut().record(id, now);
+            shared.unanswered_writes.borrow_mut().record(id, now);
         }
-        let open = matches!(result, Err(Error::Unclear { .. } | Error::Refused { .. }))
-            && shared.unsettled.borrow().contains(id, now);
-        if !open || quincewheel_clock::boot() + TIMEOUT.as_millis() as u64 > begun + SETTLE {
+        let retry = matches!(result, Err(Error::Unclear { .. } | Error::Refused { .. }))
+            && shared.unanswered_writes.borrow().contains(id, now);
+        if !retry
+            || quincewheel_clock::boot() + TABLE_TIMEOUT.as_millis() as u64
+                > started_at + CONFIRMATION_TIMEOUT_MS
+        {
             return result;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Writes for a client. Where the table is known to be lost, nothing is sent,
-/// and the client is told so at once instead of being held.
-async fn write(shared: &Site, commit: &Commit) -> Result<u64, Error> {
+/// Writes on behalf of a client. While the table is lost it sends nothing, so that the client gets
+/// its reply at once.
+async fn commit_if_reachable(shared: &Site, commit: &Commit) -> Result<u64, Error> {
     if shared.is_table_lost() {
         let (step, peer) = ("commit", shared.settings.table.clone());
         let detail = "not sent: the table does not answer".to_owned();
         return Err(Error::Refused { step, peer, detail });
     }
-    attempt(shared, commit).await
+    commit_once(shared, commit).await
 }
 
-/// Writes once, and takes note of whether the table answers.
-pub(crate) async fn attempt(shared: &Site, commit: &Commit) -> Result<u64, Error> {
-    let result = shared.table.commit(commit, TIMEOUT).await;
+/// Writes once, and records whether the table answers.
+pub(crate) async fn commit_once(shared: &Site, commit: &Commit) -> Result<u64, Error> {
+    let result = shared.table.commit(commit, TABLE_TIMEOUT).await;
     match &result {
-        Ok(_) | Err(Error::Conflict { .. }) => shared.table_answered(Ok(())),
-        Err(error) => shared.table_answered(Err(error)),
+        Ok(_) | Err(Error::Conflict { .. }) => shared.record_table_reply(Ok(())),
+        Err(error) => shared.record_table_reply(Err(error)),
     }
     result
 }
 
-/// A job that is known already is accepted again.
-fn known(shared: &Site, target: &Target, id: &str) -> Option<Answer> {
+/// Accepts a repeated submission of a job that is in the mirror.
+fn find_accepted(shared: &Site, target: &Target, id: &str) -> Option<Answer> {
     let mirror = shared.mirror.borrow();
     let view = mirror.jobs.get(id).filter(|view| view.job.is_some())?;
-    Some(match owned(view, target) {
+    Some(match belongs_to(view, target) {
         true => Answer::Accepted,
         false => Answer::Invalid("another team's job has this name".to_owned()),
     })
 }
 
-/// The job is stored, which took so many milliseconds: tells it, and takes it in.
-fn accepted(shared: &Site, id: &str, job: Job, stored: Stored, ms: u64) {
+/// Logs that a job was stored within `ms` milliseconds, and passes it on.
+fn on_stored(shared: &Site, id: &str, job: Job, stored: Stored, ms: u64) {
     let (queue, team, chain) = (job.queue.name.as_str(), job.team.as_str(), job.chain());
     let version = match stored {
-        Stored::Here(version) | Stored::Elsewhere(Some(version)) => version,
-        Stored::Elsewhere(None) => 0,
+        Stored::Local(version) | Stored::Forwarded(Some(version)) => version,
+        Stored::Forwarded(None) => 0,
     };
     log::info!(event = "accepted", job = id, queue = queue, team = team, chain = chain, ms = ms; "version {version} {}", job.shape());
     match stored {
-        Stored::Here(version) => news::accepted(shared, id, job, version),
-        Stored::Elsewhere(Some(version)) => news::keep(shared, id, &job, version),
-        Stored::Elsewhere(None) => {}
+        Stored::Local(version) => job_events::notify_accepted(shared, id, job, version),
+        Stored::Forwarded(Some(version)) => job_events::cache_job(shared, id, &job, version),
+        Stored::Forwarded(None) => {}
     }
 }
 
-async fn tell_state(shared: &Site, target: &Target, id: &str) -> Answer {
-    looks::refresh(shared, id).await;
+async fn query_state(shared: &Site, target: &Target, id: &str) -> Answer {
+    job_state::refresh(shared, id).await;
     match find_job(shared, id).await {
-        Ok(Some(view)) if owned(&view, target) => Answer::State(view.state()),
+        Ok(Some(view)) if belongs_to(&view, target) => Answer::State(view.state()),
         Ok(_) => Answer::Unknown,
-        Err(_) => busy(shared),
+        Err(_) => unavailable(shared),
     }
 }
 
-/// Writes the cancellation, also of a job that is unknown: its submission may
-/// still be on its way, and must then find it.
+/// Writes the cancellation, for an unknown job as well: a submission that arrives later must find
+/// it.
 async fn cancel(shared: &Site, target: &Target, id: &str) -> Answer {
     let view = match find_job(shared, id).await {
         Ok(view) => view,
-        Err(_) => return busy(shared),
+        Err(_) => return unavailable(shared),
     };
-    let known = view.as_ref().is_some_and(|view| owned(view, target));
+    let known = view.as_ref().is_some_and(|view| belongs_to(view, target));
     if view.as_ref().is_some_and(|view| view.job.is_some()) && !known {
         return Answer::Unknown;
     }
     if view.as_ref().is_some_and(|view| view.state().ended()) {
         return if known { Answer::Cancelled } else { Answer::Unknown };
     }
-    let mut result = write(shared, &stores::cancel_row(id)).await;
+    let mut result = commit_if_reachable(shared, &forward::cancellation_commit(id)).await;
     if matches!(result, Err(Error::Refused { .. } | Error::Unclear { .. })) {
-        let ask = |number| Peer::Cancel { number, id: id.to_owned() };
-        if let Verdict::Stored(version) = stores::elsewhere(shared, id, ask).await {
+        let request = |number| Peer::Cancel { number, id: id.to_owned() };
+        if let Verdict::Stored(version) = forward::forward_write(shared, id, request).await {
             result = Ok(version);
         }
     }
     match result {
         Ok(version) => {
             log::info!(event = "cancelled", job = id; "version {version}");
-            news::cancelled(shared, id);
+            job_events::notify_cancelled(shared, id);
             if known { Answer::Cancelled } else { Answer::Unknown }
         }
-        Err(error) => failed(shared, &error),
+        Err(error) => failure_answer(shared, &error),
     }
 }
 
-/// The job as this entry knows it, or else as the table has it: that a job
-/// does not exist may be said only after the table was asked.
+/// Finds a job in the mirror or else in the table, which must be read before the job is reported
+/// as unknown.
 async fn find_job(shared: &Site, id: &str) -> Result<Option<JobView>, Error> {
     let known = shared.mirror.borrow().jobs.get(id).cloned();
     match known {
         Some(view) if view.job.is_some() => Ok(Some(view)),
-        _ => look(shared, id).await,
+        _ => read_job(shared, id).await,
     }
 }
 
-/// Reads a job's rows.
-pub(crate) async fn look(shared: &Site, id: &str) -> Result<Option<JobView>, Error> {
+/// Reads a job's rows from the table.
+pub(crate) async fn read_job(shared: &Site, id: &str) -> Result<Option<JobView>, Error> {
     if shared.is_table_lost() {
         let (step, peer) = ("read", shared.settings.table.clone());
         let detail = "not sent: the table does not answer".to_owned();
@@ -298,7 +303,7 @@
     for key in [rows::job_key(id), rows::progress_key(id), rows::cancellation_key(id)] {
         let part = rows::part_of(&key);
         let read = Read { prefix: key, after: String::new(), limit: 1 };
-        let (page, _) = shared.table.read(Space::Own, part, &read, TIMEOUT).await?;
+        let (page, _) = shared.table.read(Space::Own, part, &read, TABLE_TIMEOUT).await?;
         for row in page.rows {
             let (key, version) = (row.key, row.version);
             found.apply(&Change { key, version, value: Some(row.value) });
@@ -307,19 +312,19 @@
     Ok(found.jobs.remove(id))
 }
 
-fn owned(view: &JobView, target: &Target) -> bool {
+fn belongs_to(view: &JobView, target: &Target) -> bool {
     let team = view.job.as_ref().map(|(job, _)| &job.team);
     team.is_some_and(|team| *team == target.team)
 }
 
-/// Nothing was done; the client is told when to come back.
-fn busy(shared: &Site) -> Answer {
-    Answer::Unavailable(shared.retry(quincewheel_clock::boot()))
+/// Reports that nothing was done and when the client should retry.
+fn unavailable(shared: &Site) -> Answer {
+    Answer::Unavailable(shared.retry_after_ms(quincewheel_clock::boot()))
 }
 
-fn failed(shared: &Site, error: &Error) -> Answer {
+fn failure_answer(shared: &Site, error: &Error) -> Answer {
     match error {
-        Error::Refused { .. } => busy(shared),
+        Error::Refused { .. } => unavailable(shared),
         _ => Answer::Unclear,
     }
 }
--- /dev/null
+++ b/crates/entry/src/site/clearance.rs
@@ -0,0 +1,54 @@
+//! Requests the start of steps from the clearance service, one request at a time.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use quincewheel_dispatch::ClearanceRequest;
+use quincewheel_platform::Advisor;
+
+use super::ownership::tick;
+use super::state::{Shared, Site};
+
+/// Time limit for a request beyond the time that the service states for its reply, in
+/// milliseconds.
+const EXTRA_TIMEOUT_MS: u64 = 1500;
+
+/// Sends the owner's requests to the service.
+pub(crate) async fn run(shared: Shared) {
+    let address = shared.settings.advice.as_deref().unwrap_or_default();
+    let advisor = Advisor::open(address, Rc::clone(&shared.on_skipped));
+    loop {
+        let request = shared.clearance_request.borrow_mut().take();
+        match request {
+            Some(request) => request_clearance(&shared, &advisor, &request).await,
+            None => shared.clearance_requested.notified().await,
+        }
+    }
+}
+
+async fn request_clearance(shared: &Site, advisor: &Advisor, request: &ClearanceRequest) {
+    let sent_at = quincewheel_clock::boot();
+    let step_name = (request.job.as_str(), request.occurrence, request.step);
+    let workers: Vec<&str> = request.workers.iter().map(|worker| worker.id.as_str()).collect();
+    let reply = advisor.ask(step_name, &workers, request_timeout(shared, request)).await;
+    let now = quincewheel_clock::boot();
+    if let Err(error) = &reply {
+        log::warn!(event = "advice", job = request.job.as_str(), ms = now - sent_at; "{error}");
+    }
+    if let Some(owner) = shared.owner.borrow_mut().as_mut() {
+        let reply = reply.as_ref().ok();
+        let clearance = reply.map(|reply| (reply.tickets.as_slice(), reply.valid));
+        owner.on_clearance(request, clearance, sent_at, now);
+    }
+    tick(shared);
+}
+
+/// Time limit for a request: the time that the queue's settings state for the service, plus a
+/// margin.
+fn request_timeout(shared: &Site, request: &ClearanceRequest) -> Duration {
+    let mirror = shared.mirror.borrow();
+    let job = mirror.jobs.get(&request.job).and_then(|view| view.job.as_ref());
+    let advice = job.and_then(|(job, _)| job.queue.advice).unwrap_or_default();
+    let workers = request.workers.len() as u64;
+    Duration::from_millis(advice.decide + advice.each * workers + EXTRA_TIMEOUT_MS)
+}
--- a/crates/entry/src/site/work.rs
+++ b/crates/entry/src/site/client_call.rs
@@ -6,26 +6,26 @@
 use super::rpc;
 use crate::connect::Codec;
 
-/// A client's call, on its way to the deciding thread.
-pub(crate) struct Work {
-    /// How it was made.
-    pub form: Form,
+/// A client's call, on its way to the decision thread.
+pub(crate) struct ClientCall {
+    /// How the client made the call.
+    pub protocol: Protocol,
     pub body: Body,
     pub reply: oneshot::Sender<Answer>,
 }
 
-/// How a call was made: the two ways to the same jobs.
+/// How a call was made. Both protocols lead to the same jobs.
 #[derive(Clone, Debug)]
-pub(crate) enum Form {
-    /// By a path of a queue, as the platform's clients do.
+pub(crate) enum Protocol {
+    /// HTTP request to a path of a queue, as the platform's clients make it.
     Path { method: String, host: String, path: String, authorization: Option<String> },
-    /// By a remote procedure of the product.
+    /// Remote procedure of [`rpc`].
     Procedure { name: String, codec: Codec, key: String },
 }
 
-impl Form {
-    /// Reads it off a request.
-    pub fn of(request: &Request) -> Form {
+impl Protocol {
+    /// Determines the protocol of a request.
+    pub fn from_request(request: &Request) -> Protocol {
         let header = |name: &str| {
             let value = request.headers().get(name).and_then(|value| value.to_str().ok());
             value.map(str::to_owned)
@@ -34,14 +34,14 @@
         if let Some(name) = request.path().strip_prefix(rpc::PREFIX) {
             let codec = header("content-type").and_then(|kind| Codec::of(&kind));
             let key = authorization.as_deref().and_then(|value| value.strip_prefix("Bearer "));
-            return Form::Procedure {
+            return Protocol::Procedure {
                 name: name.to_owned(),
                 codec: codec.unwrap_or(Codec::Json),
                 key: key.unwrap_or_default().to_owned(),
             };
         }
         let host = header("host").or_else(|| request.uri().host().map(str::to_owned));
-        Form::Path {
+        Protocol::Path {
             method: request.method().as_str().to_owned(),
             host: host.unwrap_or_default(),
             path: request.path().to_owned(),
@@ -49,29 +49,31 @@
         }
     }
 
-    /// What the call asks for.
+    /// Resolves the call against the configuration.
     pub fn target(&self, config: &Config, body: &Body) -> Result<Target, Answer> {
         match self {
-            Form::Path { method, host, path, authorization } => {
+            Protocol::Path { method, host, path, authorization } => {
                 platform::target(config, method, host, path, authorization.as_deref())
                     .map_err(Answer::Refused)
             }
-            Form::Procedure { name, codec, key } => rpc::target(config, name, *codec, key, body),
+            Protocol::Procedure { name, codec, key } => {
+                rpc::target(config, name, *codec, key, body)
+            }
         }
     }
 
-    /// The job that a submission holds.
+    /// Decodes the job of a submission.
     pub fn job(&self, target: &Target, body: &[u8], accepted: u64) -> Result<Job, String> {
         match self {
-            Form::Path { .. } => platform::submission(target, body, accepted),
-            Form::Procedure { codec, .. } => rpc::job(target, *codec, body, accepted),
+            Protocol::Path { .. } => platform::submission(target, body, accepted),
+            Protocol::Procedure { codec, .. } => rpc::job(target, *codec, body, accepted),
         }
     }
 
-    /// The answer in the form that the caller understands.
+    /// Encodes a reply for this protocol.
     pub fn encode(&self, answer: &Answer) -> Reply {
         match self {
-            Form::Path { .. } => {
+            Protocol::Path { .. } => {
                 let (status, body, after) = platform::encode(answer);
                 let mut reply = quincewheel_http::reply(status, "application/json", body);
                 if let Some(seconds) = after {
@@ -79,15 +81,15 @@
                 }
                 reply
             }
-            Form::Procedure { name, codec, .. } => rpc::encode(name, *codec, answer),
+            Protocol::Procedure { name, codec, .. } => rpc::encode(name, *codec, answer),
         }
     }
 
-    /// One word for the log and counters.
+    /// Name of the method, for logs and metrics.
     pub fn method(&self) -> &str {
         match self {
-            Form::Path { method, .. } => method,
-            Form::Procedure { name, .. } => name,
+            Protocol::Path { method, .. } => method,
+            Protocol::Procedure { name, .. } => name,
         }
     }
 }
--- a/crates/entry/src/site/evacuation.rs
+++ b/crates/entry/src/site/evacuation.rs
@@ -1,24 +1,24 @@
-//! The availability zones that operators evacuate, as the table's rows tell.
+//! Availability zones that operators evacuate, from the table's rows.
 
 use quincewheel_platform as platform;
 use quincewheel_store::Change;
 
 use super::state::Site;
 
-/// Takes in changes of the operators' rows, or all of them.
-pub(crate) fn take(shared: &Site, rows: &[Change], whole: bool) {
+/// Applies changes of the operators' rows, or a complete set of them.
+pub(crate) fn apply(shared: &Site, rows: &[Change], complete: bool) {
     let known = shared.evacuation.borrow().clone();
-    let former = known.clone().unwrap_or_default();
-    let begin = if whole { Default::default() } else { former.clone() };
-    let zones = platform::evacuation(begin, rows, &*shared.skip);
+    let previous = known.clone().unwrap_or_default();
+    let initial = if complete { Default::default() } else { previous.clone() };
+    let zones = platform::evacuation(initial, rows, &*shared.on_skipped);
     if known.as_ref() == Some(&zones) {
         return;
     }
-    for zone in zones.beyond(&former) {
-        log::info!(event = "evacuation", zone = zone; "operators evacuate it");
+    for zone in zones.beyond(&previous) {
+        log::info!(event = "evacuation", zone = zone; "operators started the evacuation");
     }
-    for zone in former.beyond(&zones) {
-        log::info!(event = "evacuation", zone = zone; "operators have taken it back");
+    for zone in previous.beyond(&zones) {
+        log::info!(event = "evacuation", zone = zone; "operators ended the evacuation");
     }
     *shared.evacuation.borrow_mut() = Some(zones);
     shared.wake.notify_one();
--- a/crates/entry/src/site/follow.rs
+++ b/crates/entry/src/site/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the table: the operators' configuration and the system's own rows.
+//! Follows the table: the operators' rows and the system's own rows.
 
 use std::time::Duration;
 
@@ -8,99 +8,104 @@
 use quincewheel_store::{Change, Changes, Error, Read, scan};
 
 use super::evacuation;
-use super::own;
+use super::ownership;
 use super::state::{Shared, Site};
 
-/// How long the table is asked to wait for a new configuration. Bounds the age
-/// of the one in force where nothing changes.
-const CONFIG_WAIT: Duration = Duration::from_millis(1500);
-/// How long the table is asked to wait for a change of the system's own rows.
-/// The owner's row changes every 500 ms; where it does not, this bounds how late
-/// that is noticed.
-const ROWS_WAIT: Duration = Duration::from_millis(400);
-/// A call without an answer is given up after this time, beyond its wait.
-const TIMEOUT: Duration = Duration::from_millis(1000);
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(150);
-/// Pause between two polls of the system's own rows, so that changes that come
-/// close together cost one call.
-const GATHER: Duration = Duration::from_millis(40);
-/// And of an entry that does not own: it answers clients from the rows, and asks the owner of
-/// what goes on. Told at once of what ends an ownership, by the connection.
-const IDLE: Duration = Duration::from_millis(200);
-/// A page of all rows is given up after this time: most of what an owner may be silent, which
-/// is not judged while nothing is heard of the table.
-const READ: Duration = Duration::from_millis(1500);
-/// A feed that has not told of a claim by then has nothing to tell, in milliseconds: while the
-/// table drops its history it tells nothing for a second.
-const CATCH_UP: u64 = 300;
-/// Parts that are read at the same time. All nine shared a thin link so that none was through
-/// within its time.
-const AT_ONCE: usize = 3;
+/// How long the table may hold a poll for the operators' rows. Bounds the age of the configuration
+/// when nothing changes.
+const OPERATOR_ROWS_WAIT: Duration = Duration::from_millis(1500);
+/// How long the table may hold a poll for the system's own rows. The owner's row changes every 500
+/// ms; if it does not, this bounds how late that is detected.
+const OWN_ROWS_WAIT: Duration = Duration::from_millis(400);
+/// Time limit for a call, beyond the time that the table may hold it.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Interval between the owner's polls of the system's own rows, so that one call fetches changes
+/// that come in quick succession.
+const OWNER_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// The same for an entry that does not own. It answers clients from the rows and queries the owner
+/// about running jobs; it detects the end of an ownership by the connection to the owner.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Time limit for one page while all rows are read. That is most of the time for which an owner
+/// may be silent, which is not evaluated before the rows have arrived.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time limit for catching up with a claim, in milliseconds. A feed that has not delivered the
+/// claim by then delivers nothing: while the table compacts its history, the feed stalls for a
+/// second.
+const CATCH_UP_LIMIT_MS: u64 = 300;
+/// Parts that are read concurrently. All nine at once over a slow connection exceed the time limit
+/// of every one of them.
+const CONCURRENT_PARTS: usize = 3;
 
-/// Follows what operators write for ever: the configuration, waves and evacuations.
-pub(crate) async fn configuration(shared: Shared) {
+/// Follows the operators' rows: the configuration, waves and evacuations.
+pub(crate) async fn follow_operator_rows(shared: Shared) {
     let mut version = None;
-    let mut calm = true;
+    let mut previous_succeeded = true;
     loop {
-        let sent = quincewheel_clock::boot();
+        let sent_at = quincewheel_clock::boot();
         let result = match version {
             None => read_all(&shared.feed, Space::Operator).await,
             Some(after) => {
-                // A call that waits and is lost is missed only after its wait.
-                let wait = if calm { wait(&shared, config_wait(&shared)) } else { Duration::ZERO };
-                shared.feed.follow(Space::Operator, after, wait, TIMEOUT).await
+                // After a failure the next call does not wait, since the loss of a waiting call is
+                // detected only after its wait.
+                let wait = if previous_succeeded {
+                    poll_wait(&shared, operator_rows_wait(&shared))
+                } else {
+                    Duration::ZERO
+                };
+                shared.feed.follow(Space::Operator, after, wait, CALL_TIMEOUT).await
             }
         };
-        calm = result.is_ok();
+        previous_succeeded = result.is_ok();
         match result {
             Ok(changes) => {
-                let whole = version.is_none();
+                let complete = version.is_none();
                 version = Some(changes.version);
-                evacuation::take(&shared, &changes.rows, whole);
+                evacuation::apply(&shared, &changes.rows, complete);
                 for change in &changes.rows {
-                    configure(&shared, change);
+                    apply_operator_row(&shared, change);
                 }
-                shared.table_answered(Ok(()));
-                shared.proved.set(sent);
-                shared.show_ready(quincewheel_clock::boot());
+                shared.record_table_reply(Ok(()));
+                shared.config_confirmed_at.set(sent_at);
+                shared.update_status(quincewheel_clock::boot());
             }
             Err(error) => {
-                failed(&shared, &error, &mut version);
-                shared.show_ready(quincewheel_clock::boot());
-                tokio::time::sleep(PAUSE).await;
+                on_failure(&shared, &error, &mut version);
+                shared.update_status(quincewheel_clock::boot());
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// How long a calm poll for what operators write waits: no longer than a third of what an
-/// evacuation may take to be in force.
-fn config_wait(shared: &Site) -> Duration {
-    let third = shared.bounds.get().evacuation.map(|bound| Duration::from_millis(bound / 3));
-    third.map_or(CONFIG_WAIT, |third| third.min(CONFIG_WAIT))
+/// How long a poll for the operators' rows may wait: at most a third of the time within which an
+/// evacuation must take effect.
+fn operator_rows_wait(shared: &Site) -> Duration {
+    let limit = shared.bounds.get().evacuation.map(|bound| Duration::from_millis(bound / 3));
+    limit.map_or(OPERATOR_ROWS_WAIT, |wait| wait.min(OPERATOR_ROWS_WAIT))
 }
 
-/// How long to wait for a change: not at all while the table is lost, so that
-/// its return is noticed at once.
-fn wait(shared: &Site, calm: Duration) -> Duration {
-    if shared.is_table_lost() { Duration::ZERO } else { calm }
+/// How long a poll may wait. A lost table is polled without a wait, to detect at once that it
+/// answers again.
+fn poll_wait(shared: &Site, longest: Duration) -> Duration {
+    if shared.is_table_lost() { Duration::ZERO } else { longest }
 }
 
-fn configure(shared: &Site, change: &Change) {
+fn apply_operator_row(shared: &Site, change: &Change) {
     let Some(value) = &change.value else { return };
-    match platform::wave(&change.key, value, &*shared.skip) {
+    match platform::wave(&change.key, value, &*shared.on_skipped) {
         None => {}
-        Some(Err(detail)) => unreadable(shared, &change.key, &detail),
+        Some(Err(detail)) => report_unreadable(shared, &change.key, &detail),
         Some(Ok(wave)) => {
             log::info!(event = "wave", number = wave.number; "{} machines", wave.machines.len());
             shared.waves.borrow_mut().insert(wave.number, wave);
             shared.wake.notify_one();
         }
     }
-    match platform::config(&change.key, value, &*shared.skip) {
+    match platform::config(&change.key, value, &*shared.on_skipped) {
         None => {}
-        Some(Err(detail)) => unreadable(shared, &change.key, &detail),
+        Some(Err(detail)) => report_unreadable(shared, &change.key, &detail),
         Some(Ok(config)) => {
             let mut known = shared.config.borrow_mut();
             if known.as_ref().is_none_or(|known| known.version < config.version) {
@@ -112,55 +117,58 @@
     }
 }
 
-/// A row holds what its key does not promise. What was known before stays.
-fn unreadable(shared: &Site, key: &str, detail: &str) {
-    (shared.skip)(Skipped { list: "rows", detail: format!("{key}: {detail}") });
+/// Reports a row whose value does not fit its key. The last valid value stays in effect.
+fn report_unreadable(shared: &Site, key: &str, detail: &str) {
+    (shared.on_skipped)(Skipped { list: "rows", detail: format!("{key}: {detail}") });
 }
 
-/// Follows the system's own rows for ever.
-pub(crate) async fn own_rows(shared: Shared) {
+/// Follows the system's own rows.
+pub(crate) async fn follow_own_rows(shared: Shared) {
     let mut version = None;
     loop {
         let result = match version {
             None => read_all(&shared.feed, Space::Own).await,
             Some(after) => {
-                shared.feed.follow(Space::Own, after, wait(&shared, ROWS_WAIT), TIMEOUT).await
+                shared
+                    .feed
+                    .follow(Space::Own, after, poll_wait(&shared, OWN_ROWS_WAIT), CALL_TIMEOUT)
+                    .await
             }
         };
         match result {
             Ok(changes) => {
-                let whole = version.is_none();
+                let complete = version.is_none();
                 version = Some(changes.version);
-                take(&shared, &changes, whole);
+                apply(&shared, &changes, complete);
                 let owns = shared.owner.borrow().is_some();
-                let pause = if owns { GATHER } else { IDLE };
-                let _ = tokio::time::timeout(pause, shared.unowned.notified()).await;
+                let pause = if owns { OWNER_POLL_INTERVAL } else { IDLE_POLL_INTERVAL };
+                let _ = tokio::time::timeout(pause, shared.owner_disconnected.notified()).await;
             }
             Err(error) => {
-                failed(&shared, &error, &mut version);
-                tokio::time::sleep(PAUSE).await;
+                on_failure(&shared, &error, &mut version);
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Takes in what the table has done up to a version, if it tells within [`CATCH_UP`], and
-/// tells up to where that is; none if all rows must be read instead.
+/// Applies changes from the table up to `version` and returns the version reached, or `None` if
+/// all rows must be read instead, because a call failed or [`CATCH_UP_LIMIT_MS`] have passed.
 ///
-/// A new owner knows nearly all from the feed. Reading all rows took a call for each page of
-/// each part, which a slow table answers after 180 ms, or a thin link after seconds.
+/// A new owner has nearly all rows from the feed. Reading all of them costs a call for each page
+/// of each part, which a slow table answers after 180 ms, and a slow connection after seconds.
 pub(crate) async fn catch_up(shared: &Site, version: u64) -> Option<u64> {
-    let began = quincewheel_clock::boot();
+    let started_at = quincewheel_clock::boot();
     loop {
         let after = shared.mirror.borrow().version;
         if after >= version {
             return Some(after);
         }
-        if after == 0 || quincewheel_clock::boot() > began + CATCH_UP {
+        if after == 0 || quincewheel_clock::boot() > started_at + CATCH_UP_LIMIT_MS {
             return None;
         }
-        match shared.table.follow(Space::Own, after, Duration::ZERO, TIMEOUT).await {
-            Ok(changes) => take(shared, &changes, false),
+        match shared.table.follow(Space::Own, after, Duration::ZERO, CALL_TIMEOUT).await {
+            Ok(changes) => apply(shared, &changes, false),
             Err(error) => {
                 log::info!(event = "takeover"; "{error}");
                 return None;
@@ -169,15 +177,15 @@
     }
 }
 
-/// Takes changes in, or all rows.
-fn take(shared: &Site, changes: &Changes, whole: bool) {
+/// Applies changes, or a complete set of rows, to the mirror.
+fn apply(shared: &Site, changes: &Changes, complete: bool) {
     let now = quincewheel_clock::boot();
     let mut mirror = shared.mirror.borrow_mut();
-    let mut news = match whole {
+    let mut events = match complete {
         true => mirror.reload(&changes.rows, changes.version),
         false => mirror.apply_changes(&changes.rows, changes.version),
     };
-    shared.heard.set(now);
+    shared.rows_updated_at.set(now);
     let mut election = shared.election.borrow_mut();
     match &mirror.owner {
         Some((_, version)) => election.observe_row(*version, now),
@@ -185,27 +193,27 @@
     }
     drop(election);
     drop(mirror);
-    for news in news.drain(..) {
-        tell_owner(shared, news, now);
+    for event in events.drain(..) {
+        notify_owner(shared, event, now);
     }
-    shared.show_ready(now);
+    shared.update_status(now);
     shared.wake.notify_one();
 }
 
-/// Tells the owner, if this entry is it.
-fn tell_owner(shared: &Site, event: RowEvent, now: u64) {
+/// Passes a change on to the owner, if there is one at this entry.
+fn notify_owner(shared: &Site, event: RowEvent, now: u64) {
     if event == RowEvent::OwnerChanged {
-        return own::check_deposed(shared);
+        return ownership::check_deposed(shared);
     }
     let mirror = shared.mirror.borrow();
     let mut owner = shared.owner.borrow_mut();
     match event {
-        RowEvent::Malformed { key, detail } => unreadable(shared, &key, &detail),
+        RowEvent::Malformed { key, detail } => report_unreadable(shared, &key, &detail),
         RowEvent::OwnerChanged => unreachable!("handled above, without the owner borrowed"),
         RowEvent::NodeAnnounced(name) => {
             let node = mirror.nodes.get(&name);
             if let Some(node) = node {
-                shared.dials.borrow_mut().forget(&node.address);
+                shared.backoff.borrow_mut().reset(&node.address);
             }
             let agent = node.is_some_and(|node| !node.entry);
             if let Some(owner) = owner.as_mut().filter(|_| agent) {
@@ -224,14 +232,14 @@
         }
         RowEvent::JobAccepted(id) => {
             if let Some(owner) = owner.as_mut() {
-                tell_job(owner, &mirror, &id, now);
+                add_job(owner, &mirror, &id, now);
             }
         }
     }
 }
 
-/// Tells the owner of a job as the rows have it.
-pub(crate) fn tell_job(owner: &mut Owner, mirror: &Mirror, id: &str, now: u64) {
+/// Adds a job to the owner as the rows have it.
+pub(crate) fn add_job(owner: &mut Owner, mirror: &Mirror, id: &str, now: u64) {
     let Some(view) = mirror.jobs.get(id) else { return };
     let Some((job, version)) = &view.job else { return };
     owner.add_job(id, job.clone(), *version, view.progress.clone());
@@ -240,21 +248,21 @@
     }
 }
 
-/// Reads all rows, as changes from nothing.
+/// Reads all rows, as if they were changes from an empty table.
 ///
-/// Some parts are read at the same time, since a new owner decides nothing before it has
-/// them all; each is as of a moment of its own. The earliest counts: what changed since then
-/// comes again.
+/// Several parts are read concurrently, since a new owner decides nothing before it has them all.
+/// Each part has a version of its own; the result has the lowest, so that later changes are
+/// delivered again.
 pub(crate) async fn read_all(table: &Table, space: Space) -> Result<Changes, Error> {
     let parts: Vec<&str> = match space {
         Space::Own => rows::parts().collect(),
         Space::Operator => vec![""],
     };
-    let read = parts
-        .into_iter()
-        .map(|part| scan(async move |read: &Read| table.read(space, part, read, READ).await));
+    let read = parts.into_iter().map(|part| {
+        scan(async move |read: &Read| table.read(space, part, read, PAGE_TIMEOUT).await)
+    });
     let mut all = Changes { rows: Vec::new(), version: u64::MAX };
-    let mut parts = stream::iter(read).buffered(AT_ONCE);
+    let mut parts = stream::iter(read).buffered(CONCURRENT_PARTS);
     while let Some(part) = parts.try_next().await? {
         all.version = all.version.min(part.version);
         all.rows.extend(part.rows);
@@ -262,11 +270,11 @@
     Ok(all)
 }
 
-fn failed(shared: &Site, error: &Error, version: &mut Option<u64>) {
+fn on_failure(shared: &Site, error: &Error, version: &mut Option<u64>) {
     if *error == Error::Compacted {
         *version = None;
-        log::info!(event = "history gone"; "all rows are read anew");
+        log::info!(event = "history gone"; "reading all rows again");
         return;
     }
-    shared.table_answered(Err(error));
+    shared.record_table_reply(Err(error));
 }
--- a/crates/entry/src/site/gate.rs
+++ b/crates/entry/src/site/gate.rs
@@ -1,6 +1,6 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// What the thread that takes calls and the one that answers them share.
+/// State shared by the thread that accepts calls and the decision thread.
 #[derive(Debug, Default)]
 pub(crate) struct Gate {
     ready: AtomicBool,
@@ -10,22 +10,22 @@
 }
 
 impl Gate {
-    /// True if the platform should send clients.
+    /// True if the platform should route clients to this entry.
     pub fn ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed) && !self.draining()
     }
 
-    /// True once the process was told to end.
+    /// True once the process is shutting down.
     pub fn draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// True for the last moments: clients are asked to leave with each answer.
+    /// True in the last phase of shutting down, in which each reply closes its connection.
     pub fn closing(&self) -> bool {
         self.closing.load(Ordering::Relaxed)
     }
 
-    /// Calls that have no answer yet.
+    /// Number of calls in flight.
     pub fn active(&self) -> usize {
         self.active.load(Ordering::Relaxed)
     }
--- a/crates/entry/src/site/handover.rs
+++ b/crates/entry/src/site/handover.rs
@@ -1,9 +1,9 @@
-//! Handing the ownership over: when the process ends, and where the table does not answer
-//! this entry while it serves others.
+//! Handover of the ownership, when the process shuts down and when the table answers other entries
+//! but not this one.
 //!
-//! An owner that the table does not answer cannot record ends, nor does it hear of new
-//! jobs; others take over once its row has stood still for 1.7 s, while urgent work has a
-//! quarter of a second to spare. It knows sooner itself, and can ask the others.
+//! An owner that gets no answers from the table can neither record ends nor learn of new jobs.
+//! Other entries take over only after its row has not changed for 1.7 s, while urgent work has a
+//! slack of a quarter of a second. The owner detects the failure sooner, and can probe the others.
 
 use std::time::Duration;
 
@@ -14,100 +14,100 @@
 use quincewheel_wire::{LinkId, Peer};
 use tokio::time::timeout;
 
-use super::asks::ask;
-use super::own::{depose, put};
+use super::ownership::{depose, put};
+use super::queries::query;
 use super::record::read_owner;
 use super::state::{Shared, Site};
 
-/// A write without an answer is repeated after this time.
-const TIMEOUT: Duration = Duration::from_millis(1200);
-/// A table that has not answered a read for so long does not answer at all: a slow one
-/// takes up to 450 ms for a write, and less for a read.
-const PROBE: Duration = Duration::from_millis(400);
-/// Longest time for which another entry is asked: its probe, and the way there and back.
-const ANSWER: Duration = Duration::from_millis(450);
-/// Entries that are asked at most: the table seldom turns more away than it serves.
-const ASKED: usize = 4;
+/// A write without a reply is repeated after this time.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(1200);
+/// A table that has not answered a read within this time is unreachable. A slow one takes up to
+/// 450 ms for a write, and less for a read.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time limit for another entry's reply: its own probe and the round trip.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(450);
+/// Number of entries that are probed. The table rarely refuses more entries than it serves.
+const MAX_PROBED_ENTRIES: usize = 4;
 
-/// Gives the ownership up, so that another entry takes it without waiting.
+/// Gives up the ownership, so that another entry claims it without waiting.
 pub(crate) async fn hand_over(shared: &Site) {
-    let Some((mine, version)) = shared.held.borrow().clone() else { return };
+    let Some((mine, version)) = shared.ownership.borrow().clone() else { return };
     depose(shared, "shutting down");
-    if let Err(error) = shared.table.commit(&vacant(mine, version), TIMEOUT).await {
-        // The others take over once the row stands still.
+    if let Err(error) = shared.table.commit(&vacating_commit(mine, version), COMMIT_TIMEOUT).await {
+        // The others take over after the row has not changed for a while.
         log::warn!(event = "hand over"; "{error}");
     }
 }
 
-/// Gives the ownership up if the table answers another entry and not this one. One
-/// answer that is lost, or a table that answers nobody, is no reason: then no other owner
-/// would do better, and changing it costs some 100 ms in which nothing starts.
-pub(crate) async fn leave_if_cut_off(shared: &Site) -> bool {
-    if answers(shared).await {
+/// Gives up the ownership if the table answers another entry but not this one. A single lost
+/// reply, or a table that answers no entry, is not sufficient: no other owner would do better
+/// then, and a change of owner costs some 100 ms in which nothing starts.
+pub(crate) async fn hand_over_if_cut_off(shared: &Site) -> bool {
+    if is_table_reachable(shared).await {
         return false;
     }
     let Some(link) = first_served(shared, successors(shared)).await else { return false };
-    let Some((mine, version)) = shared.held.borrow().clone() else { return false };
-    let commit = vacant(mine, version);
+    let Some((mine, version)) = shared.ownership.borrow().clone() else { return false };
+    let commit = vacating_commit(mine, version);
     let value = commit.put.into_iter().map(|row| row.value).collect();
     let frame = Peer::HandOver { value, version }.into();
-    // Sent before the connections are closed, which sends what is queued first.
+    // Sent before the connections are closed, since closing them flushes queued frames first.
     shared.hub.ask(Command::Send { link, frame });
-    depose(shared, "the table answers others only");
+    depose(shared, "the table answers other entries only");
     true
 }
 
-/// The other entries, those on the largest machines first.
+/// The connections to the other entries, those on the largest machines first.
 fn successors(shared: &Site) -> Vec<LinkId> {
     let mirror = shared.mirror.borrow();
-    let entries = shared.entries.borrow();
+    let entries = shared.entry_links.borrow();
     let mut links: Vec<(usize, LinkId)> =
         entries.iter().map(|(name, link)| (mirror.candidate_rank(name), *link)).collect();
     links.sort_unstable();
     links.into_iter().map(|(_, link)| link).collect()
 }
 
-/// Another entry asks whether the table answers this one.
-pub(crate) async fn hear_reach(shared: Shared, link: LinkId, number: u64) {
-    let well = !shared.is_table_lost() && answers(&shared).await;
-    shared.hub.ask(Command::Send { link, frame: Peer::Reached { number, well }.into() });
+/// Replies to another entry's probe whether the table answers this entry.
+pub(crate) async fn on_reach(shared: Shared, link: LinkId, number: u64) {
+    let reachable = !shared.is_table_lost() && is_table_reachable(&shared).await;
+    shared.hub.ask(Command::Send { link, frame: Peer::Reached { number, well: reachable }.into() });
 }
 
-/// The former owner asks to write that nobody owns.
+/// Writes, on behalf of the previous owner, that there is no owner.
 ///
-/// Its last write may have been performed without an answer: then the row has a later
-/// version than it knows, which this entry's feed tells.
-pub(crate) async fn hear_hand_over(shared: Shared, value: String, version: u64) {
-    let seen = shared.mirror.borrow().owner.clone();
+/// The previous owner's last write may have taken effect without a reply. The row then has a later
+/// version than the previous owner sent, which this entry's feed may have delivered.
+pub(crate) async fn on_hand_over(shared: Shared, value: String, version: u64) {
+    let row = shared.mirror.borrow().owner.clone();
     let Ok(mine) = serde_json::from_str::<Ownership>(&value) else { return };
-    let same = seen.filter(|(owner, _)| owner.epoch == mine.epoch);
-    let version = same.map_or(version, |(_, seen)| seen.max(version));
-    let commit = vacant(mine.clone(), version);
-    let written = match shared.table.commit(&commit, TIMEOUT).await {
-        Err(Error::Conflict { .. }) => vacate_again(&shared, &mine).await,
-        written => written.map(|version| (commit, version)),
+    let current = row.filter(|(owner, _)| owner.epoch == mine.epoch);
+    let version = current.map_or(version, |(_, latest)| latest.max(version));
+    let commit = vacating_commit(mine.clone(), version);
+    let result = match shared.table.commit(&commit, COMMIT_TIMEOUT).await {
+        Err(Error::Conflict { .. }) => retry_vacating(&shared, &mine).await,
+        result => result.map(|version| (commit, version)),
     };
-    match written {
-        Ok((commit, version)) => step_in(&shared, &commit, version),
-        // The others take over once the row stands still.
+    match result {
+        Ok((commit, version)) => claim_next(&shared, &commit, version),
+        // The others take over after the row has not changed for a while.
         Err(error) => log::warn!(event = "hand over"; "{error}"),
     }
 }
 
-/// Writes that nobody owns over a write of the former owner that had no answer, and that
-/// the feed has not told yet. Left at that, nobody owned for 1.9 s.
-async fn vacate_again(shared: &Site, mine: &Ownership) -> Result<(Commit, u64), Error> {
+/// Writes that there is no owner over a write of the previous owner which got no reply and which
+/// the feed has not delivered yet. Without this retry there was no owner for 1.9 s.
+async fn retry_vacating(shared: &Site, mine: &Ownership) -> Result<(Commit, u64), Error> {
     let (found, version) = read_owner(shared).await?;
     if found.epoch != mine.epoch || found.holder != mine.holder {
         return Err(Error::Conflict { key: OWNER_KEY.to_owned() });
     }
-    let commit = vacant(found, version);
-    shared.table.commit(&commit, TIMEOUT).await.map(|version| (commit, version))
+    let commit = vacating_commit(found, version);
+    shared.table.commit(&commit, COMMIT_TIMEOUT).await.map(|version| (commit, version))
 }
 
-/// Claims what was just handed over: the former owner has chosen this entry, and the
-/// feed would tell only after some 25 ms.
-fn step_in(shared: &Site, commit: &Commit, version: u64) {
+/// Lets this entry claim the ownership next: the previous owner has chosen it, and the feed would
+/// deliver the row only after some 25 ms.
+fn claim_next(shared: &Site, commit: &Commit, version: u64) {
     let mut mirror = shared.mirror.borrow_mut();
     for row in &commit.put {
         let value = Some(row.value.clone());
@@ -117,8 +117,8 @@
     shared.wake.notify_one();
 }
 
-/// The write that tells that nobody owns.
-fn vacant(mut mine: Ownership, version: u64) -> Commit {
+/// The write that clears the owner.
+fn vacating_commit(mut mine: Ownership, version: u64) -> Commit {
     mine.holder = String::new();
     mine.sequence += 1;
     Commit {
@@ -128,19 +128,18 @@
     }
 }
 
-async fn answers(shared: &Site) -> bool {
-    matches!(timeout(PROBE, read_owner(shared)).await, Ok(Ok(_)))
+async fn is_table_reachable(shared: &Site) -> bool {
+    matches!(timeout(PROBE_TIMEOUT, read_owner(shared)).await, Ok(Ok(_)))
 }
 
-/// The first of these entries that tells that the table answers it. All are asked at
-/// once: one after the other, a table that is silent to all would hold a client up for
-/// as many times as long.
+/// Returns the first of these entries that the table answers. All are probed concurrently: probing
+/// one after the other would multiply a client's waiting time if the table answers none of them.
 pub(crate) async fn first_served(shared: &Site, links: Vec<LinkId>) -> Option<LinkId> {
     let mut probes = Vec::new();
-    for link in links.into_iter().take(ASKED) {
-        let Some(answer) = ask(shared, link, |number| Peer::Reach { number }) else { continue };
+    for link in links.into_iter().take(MAX_PROBED_ENTRIES) {
+        let Some(reply) = query(shared, link, |number| Peer::Reach { number }) else { continue };
         probes.push(Box::pin(async move {
-            match answer.await {
+            match reply.await {
                 Ok(Peer::Reached { well: true, .. }) => Ok(link),
                 _ => Err(()),
             }
@@ -149,7 +148,7 @@
     if probes.is_empty() {
         return None;
     }
-    match timeout(ANSWER, select_ok(probes)).await {
+    match timeout(REPLY_TIMEOUT, select_ok(probes)).await {
         Ok(Ok((link, _))) => Some(link),
         _ => None,
     }
--- a/crates/entry/src/site/links.rs
+++ b/crates/entry/src/site/links.rs
@@ -1,5 +1,5 @@
-//! Connections: the owner's to agents and to the other entries, and the one
-//! that tells another entry whether the owner lives.
+//! Connections: the owner's to agents and other entries, and the owner's connection to this entry,
+//! which shows whether the owner is alive.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,124 +10,124 @@
 use quincewheel_store::Error;
 use quincewheel_wire::{Hello, LinkId, Notice, Peer, Role};
 
+use super::forward;
 use super::handover;
-use super::looks;
-use super::news;
-use super::own::step;
+use super::job_events;
+use super::job_state;
+use super::ownership::tick;
 use super::state::{Shared, Site};
-use super::stores;
 
 /// A write of the entry's own row is repeated after this time.
-const TIMEOUT: Duration = Duration::from_millis(1200);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Connects to agents that are not connected, and to the other entries, which
-/// notice by that connection that this process is gone.
-pub(crate) fn dial(shared: &Site, now: u64) {
+/// Dials agents and entries that are not connected. The other entries detect by their connection
+/// when this process ends.
+pub(crate) fn dial_disconnected(shared: &Site, now: u64) {
     let owner = shared.owner.borrow();
-    let Some(owner) = owner.as_ref() else { return shared.dials.borrow_mut().clear() };
-    let mut dials = shared.dials.borrow_mut();
+    let Some(owner) = owner.as_ref() else { return shared.backoff.borrow_mut().clear() };
+    let mut backoff = shared.backoff.borrow_mut();
     let mirror = shared.mirror.borrow();
-    dials.keep(|address| mirror.nodes.values().any(|node| node.address == address));
+    backoff.retain_members(|address| mirror.nodes.values().any(|node| node.address == address));
     for (name, node) in &mirror.nodes {
-        let linked = match node.entry {
-            true => *name == shared.settings.name || shared.entries.borrow().contains_key(name),
+        let connected = match node.entry {
+            true => *name == shared.settings.name || shared.entry_links.borrow().contains_key(name),
             false => owner.is_connected(name),
         };
-        if linked {
-            dials.forget(&node.address);
-        } else if dials.due(&node.address, now) {
+        if connected {
+            backoff.reset(&node.address);
+        } else if backoff.begin_attempt(&node.address, now) {
             shared.hub.ask(Command::Dial { address: node.address.clone() });
         }
     }
 }
 
-/// Events that are taken in before time passes for the owner, at most.
-const LOT: usize = 64;
+/// Maximum number of further events that are processed before the owner decides.
+const MAX_EVENT_BATCH: usize = 64;
 
-/// Takes in what other processes tell.
+/// Processes events of other processes.
 ///
-/// All that waits is taken in before anything is decided. A decision after each event
-/// cost an owner with 160 agents on a small machine more time than there was between two
-/// events: it fell behind, and decided over what had long changed.
-pub(crate) async fn listen(shared: Shared, events: ring::Receiver<Event<Notice>>) {
+/// All queued events are processed before the owner decides. Deciding after each event took an
+/// owner with 160 agents on a small machine longer than the time between two events, so that it
+/// fell behind and decided on outdated state.
+pub(crate) async fn process_events(shared: Shared, events: ring::Receiver<Event<Notice>>) {
     while let Some(event) = events.recv().await {
-        hear(&shared, event);
-        for event in std::iter::from_fn(|| events.try_recv()).take(LOT) {
-            hear(&shared, event);
+        on_event(&shared, event);
+        for event in std::iter::from_fn(|| events.try_recv()).take(MAX_EVENT_BATCH) {
+            on_event(&shared, event);
         }
-        step(&shared);
+        tick(&shared);
         shared.wake.notify_one();
     }
 }
 
-fn hear(shared: &Shared, event: Event<Notice>) {
+fn on_event(shared: &Shared, event: Event<Notice>) {
     let now = quincewheel_clock::boot();
     match event {
         Event::Linked { link, hello, dialled } => {
-            linked(shared, link, &hello, dialled.is_empty(), now);
+            on_connected(shared, link, &hello, dialled.is_empty(), now);
         }
-        Event::Unlinked { link } => unlinked(shared, link, now),
-        Event::Frame { link, frame: Notice::Entry(peer) } => hear_entry(shared, link, peer),
+        Event::Unlinked { link } => on_disconnected(shared, link, now),
+        Event::Frame { link, frame: Notice::Entry(peer) } => on_peer(shared, link, peer),
         Event::Frame { link, frame } => {
             if let Some(owner) = shared.owner.borrow_mut().as_mut() {
                 owner.on_notice(link, frame, now);
             }
         }
         Event::Undialled { address, error } => {
-            // Once for each loss; the tries that follow tell nothing new.
-            if shared.dials.borrow().is_first(&address) {
+            // Only the first failed attempt is logged; the retries that follow add nothing.
+            if shared.backoff.borrow().is_first_attempt(&address) {
                 log::info!(event = "not dialled", peer = address.as_str(); "{error}");
             }
         }
     }
 }
 
-/// Takes in what another entry tells.
-fn hear_entry(shared: &Shared, link: LinkId, peer: Peer) {
+/// Processes a frame of another entry.
+fn on_peer(shared: &Shared, link: LinkId, peer: Peer) {
     match peer {
         Peer::Alive => {
-            let owner = shared.from_owner.borrow().as_ref().map(|(known, _)| *known);
+            let owner = shared.owner_link.borrow().as_ref().map(|(known, _)| *known);
             if owner == Some(link) {
                 shared.election.borrow_mut().on_owner_heartbeat(quincewheel_clock::boot());
             }
         }
-        Peer::Accepted { id, version, job } => news::hear_accepted(shared, &id, job, version),
-        Peer::Cancelled { id } => news::hear_cancelled(shared, &id),
+        Peer::Accepted { id, version, job } => job_events::on_accepted(shared, &id, job, version),
+        Peer::Cancelled { id } => job_events::on_cancelled(shared, &id),
         Peer::Look { number, id } => {
-            actix_rt::spawn(looks::answer(Rc::clone(shared), link, number, id));
+            actix_rt::spawn(job_state::reply(Rc::clone(shared), link, number, id));
         }
         Peer::Found { number, ref id, ref progress } => {
-            looks::found(shared, id, progress.clone());
-            shared.asks.borrow_mut().answer(number, peer);
+            job_state::on_reply(shared, id, progress.clone());
+            shared.queries.borrow_mut().complete(number, peer);
         }
         Peer::Store { number, id, job } => {
-            actix_rt::spawn(stores::hear_job(Rc::clone(shared), link, number, id, job));
+            actix_rt::spawn(forward::on_store(Rc::clone(shared), link, number, id, job));
         }
         Peer::Cancel { number, id } => {
-            actix_rt::spawn(stores::hear_cancel(Rc::clone(shared), link, number, id));
+            actix_rt::spawn(forward::on_cancel(Rc::clone(shared), link, number, id));
         }
         Peer::Reach { number } => {
-            actix_rt::spawn(handover::hear_reach(Rc::clone(shared), link, number));
+            actix_rt::spawn(handover::on_reach(Rc::clone(shared), link, number));
         }
         Peer::HandOver { value, version } => {
-            actix_rt::spawn(handover::hear_hand_over(Rc::clone(shared), value, version));
+            actix_rt::spawn(handover::on_hand_over(Rc::clone(shared), value, version));
         }
         Peer::Stored { number, .. } | Peer::Reached { number, .. } => {
-            shared.asks.borrow_mut().answer(number, peer);
+            shared.queries.borrow_mut().complete(number, peer);
         }
     }
 }
 
-fn linked(shared: &Site, link: LinkId, hello: &Hello, inbound: bool, now: u64) {
+fn on_connected(shared: &Site, link: LinkId, hello: &Hello, inbound: bool, now: u64) {
     let mut owner = shared.owner.borrow_mut();
     match (hello.role, owner.as_mut()) {
         (Role::Entry, _) if inbound => {
             shared.election.borrow_mut().on_owner_connected();
-            *shared.from_owner.borrow_mut() = Some((link, hello.name.clone()));
+            *shared.owner_link.borrow_mut() = Some((link, hello.name.clone()));
         }
         (Role::Entry, Some(_)) => {
-            let former = shared.entries.borrow_mut().insert(hello.name.clone(), link);
-            if let Some(link) = former {
+            let previous = shared.entry_links.borrow_mut().insert(hello.name.clone(), link);
+            if let Some(link) = previous {
                 shared.hub.ask(Command::Close { link, reason: "replaced" });
             }
         }
@@ -135,9 +135,9 @@
             owner.on_connected(&hello.name, link, now);
         }
         (Role::Agent, Some(_)) => {
-            // Its row was dropped while the connection was made. It announces
-            // itself again; without a row, a later owner would not wait for it.
-            shared.hub.ask(Command::Close { link, reason: "no member" });
+            // Its row was deleted while it connected. It has to announce itself again, since a
+            // later owner would not wait for an agent without a row.
+            shared.hub.ask(Command::Close { link, reason: "not a member" });
         }
         (_, None) => {
             shared.hub.ask(Command::Close { link, reason: "not the owner" });
@@ -145,35 +145,35 @@
     }
 }
 
-fn unlinked(shared: &Site, link: LinkId, now: u64) {
-    shared.entries.borrow_mut().retain(|_, known| *known != link);
+fn on_disconnected(shared: &Site, link: LinkId, now: u64) {
+    shared.entry_links.borrow_mut().retain(|_, known| *known != link);
     if let Some(owner) = shared.owner.borrow_mut().as_mut() {
         owner.on_disconnected(link);
     }
-    let from = shared.from_owner.borrow_mut().take_if(|(known, _)| *known == link);
+    let owner_link = shared.owner_link.borrow_mut().take_if(|(known, _)| *known == link);
     let mirror = shared.mirror.borrow();
     let holder = mirror.owner.as_ref().map(|(owner, _)| &owner.holder);
-    if from.is_some_and(|(_, name)| Some(&name) == holder) {
+    if owner_link.is_some_and(|(_, name)| Some(&name) == holder) {
         shared.election.borrow_mut().on_owner_disconnected(now);
-        shared.unowned.notify_one();
+        shared.owner_disconnected.notify_one();
     }
 }
 
-/// Writes where this entry is, so that the owner connects to it.
+/// Writes this entry's row, with the address to which the owner connects.
 pub(crate) async fn announce(shared: Shared) {
     let size = shared.settings.size;
     write_node(&shared, Size { processor: size.processor, link: size.link }).await;
 }
 
-/// Writes that this entry is the last that should own: it ends. Where entries restart one
-/// after the other, the next owner would wait in vain for those that are about to end.
-pub(crate) async fn retire(shared: Shared) {
+/// Writes this entry's row with the lowest rank, because the process is shutting down. Otherwise,
+/// in a rolling restart, claims would wait for candidates that are about to end.
+pub(crate) async fn announce_leaving(shared: Shared) {
     write_node(&shared, Size::default()).await;
 }
 
 async fn write_node(shared: &Site, size: Size) {
     let node = Node { address: shared.settings.peers.clone(), entry: true, size };
     let commit = rows::announcement(&shared.settings.name, &node);
-    let failed = |error: &Error| shared.table_answered(Err(error));
-    shared.table.insist(&commit, TIMEOUT, failed).await;
+    let failed = |error: &Error| shared.record_table_reply(Err(error));
+    shared.table.insist(&commit, COMMIT_TIMEOUT, failed).await;
 }
--- a/crates/entry/src/site/metrics.rs
+++ b/crates/entry/src/site/metrics.rs
@@ -11,7 +11,7 @@
 use quincewheel_dispatch::Cause;
 use quincewheel_job::Answer;
 
-/// What the metrics page of an entry on the platform shows.
+/// Metrics of an entry on the platform.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Mutex<Registry>,
@@ -19,17 +19,17 @@
     latency: Histogram,
     decisions: Family<Decision, Counter>,
     waits: Family<Wait, Gauge>,
-    unlisted: Gauge,
+    unlisted_runs: Gauge,
     evacuated_zones: Gauge,
     evacuated_busy: Gauge,
-    skipped: Family<List, Counter>,
-    /// The epoch under which this entry owns; 0 if it does not.
+    skipped_entries: Family<List, Counter>,
+    /// Epoch of this entry's ownership; 0 if it does not own.
     pub epoch: Gauge,
     /// Unfinished jobs of the owner.
     pub jobs: Gauge,
     /// Version of the configuration in force.
     pub config: Gauge,
-    /// Milliseconds since the table last proved the configuration current.
+    /// Milliseconds since the table last confirmed that the configuration is current.
     pub config_age: Gauge,
     /// 1 while the table does not answer.
     pub table_lost: Gauge,
@@ -56,23 +56,23 @@
     cause: &'static str,
 }
 
-/// Shortest latency that is told apart, in seconds, and how many doublings
-/// follow: 0.5 ms to 16 s.
-const LATENCY: (f64, u16) = (0.0005, 15);
+/// Upper bound of the first latency bucket in seconds, and the number of buckets, each twice as
+/// wide: 0.5 ms to 8 s.
+const LATENCY_BUCKETS: (f64, u16) = (0.0005, 15);
 
 impl Metrics {
-    pub fn open() -> Metrics {
-        let (first, steps) = LATENCY;
+    pub fn new() -> Metrics {
+        let (smallest, count) = LATENCY_BUCKETS;
         let metrics = Metrics {
             registry: Mutex::new(Registry::with_prefix("quincewheel_entry")),
             calls: Family::default(),
-            latency: Histogram::new(exponential_buckets(first, 2.0, steps)),
+            latency: Histogram::new(exponential_buckets(smallest, 2.0, count)),
             decisions: Family::default(),
             waits: Family::default(),
-            unlisted: Gauge::default(),
+            unlisted_runs: Gauge::default(),
             evacuated_zones: Gauge::default(),
             evacuated_busy: Gauge::default(),
-            skipped: Family::default(),
+            skipped_entries: Family::default(),
             epoch: Gauge::default(),
             jobs: Gauge::default(),
             config: Gauge::default(),
@@ -94,14 +94,14 @@
             "Steps whose turn came a second ago or more and that wait, by cause, at the owner";
         registry.register("waits", help, self.waits.clone());
         let help = "Entries of the platform's lists that could not be read and were left out";
-        registry.register("entries_left_out", help, self.skipped.clone());
+        registry.register("entries_left_out", help, self.skipped_entries.clone());
         let gauges = [
             ("epoch", "Epoch under which this entry owns; 0 if it does not", &self.epoch),
             ("jobs", "Unfinished jobs, at the owner", &self.jobs),
             (
                 "runs_unlisted",
                 "Runs believed at workers that answer and do not list them, at the owner",
-                &self.unlisted,
+                &self.unlisted_runs,
             ),
             (
                 "evacuated_zones",
@@ -126,44 +126,44 @@
         }
     }
 
-    /// Counts a call that took so many milliseconds.
-    pub fn count(&self, method: &str, answer: &Answer, ms: u64) {
+    /// Counts a call that took `ms` milliseconds.
+    pub fn count_call(&self, method: &str, answer: &Answer, ms: u64) {
         let known = ["GET", "POST", "DELETE"].contains(&method);
         let method = if known { method } else { "other" }.to_owned();
         self.calls.get_or_create(&Call { method, outcome: answer.outcome() }).inc();
         self.latency.observe(ms as f64 / 1000.0);
     }
 
-    /// Counts an entry of a list that was left out.
-    pub fn skipped(&self, list: &'static str) {
-        self.skipped.get_or_create(&List { list }).inc();
+    /// Counts a skipped entry of a list.
+    pub fn count_skipped(&self, list: &'static str) {
+        self.skipped_entries.get_or_create(&List { list }).inc();
     }
 
     /// Counts a decision of the owner.
-    pub fn decided(&self, event: &'static str) {
+    pub fn count_decision(&self, event: &'static str) {
         self.decisions.get_or_create(&Decision { event }).inc();
     }
 
-    /// Shows how many steps wait for each cause.
-    pub fn waiting(&self, counts: &BTreeMap<Cause, usize>) {
+    /// Sets the number of waiting steps for each cause.
+    pub fn set_waits(&self, counts: &BTreeMap<Cause, usize>) {
         for cause in Cause::ALL {
             let count = counts.get(&cause).copied().unwrap_or(0);
             self.waits.get_or_create(&Wait { cause: cause.name() }).set(count as i64);
         }
     }
 
-    /// Shows how many runs are believed to go on and are not listed.
-    pub fn unlisted(&self, count: usize) {
-        self.unlisted.set(count as i64);
+    /// Sets the number of runs that are believed to be running and are not listed by their worker.
+    pub fn set_unlisted_runs(&self, count: usize) {
+        self.unlisted_runs.set(count as i64);
     }
 
-    /// Shows how many availability zones are evacuated, and how many may not be empty yet.
-    pub fn evacuated(&self, (zones, busy): (usize, usize)) {
+    /// Sets the number of evacuated availability zones, and of those that may not be empty yet.
+    pub fn set_evacuation(&self, (zones, busy): (usize, usize)) {
         self.evacuated_zones.set(zones as i64);
         self.evacuated_busy.set(busy as i64);
     }
 
-    /// The page, in the OpenMetrics text format.
+    /// Encodes the metrics in the OpenMetrics text format.
     pub fn page(&self) -> String {
         let registry = self.registry.lock().unwrap_or_else(|lock| lock.into_inner());
         let mut text = String::new();
--- a/crates/entry/src/site/record.rs
+++ b/crates/entry/src/site/record.rs
@@ -1,4 +1,4 @@
-//! Records what the owner must not forget, and renews its ownership with it.
+//! Records the owner's changes in the table, and renews its ownership with each write.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -10,65 +10,69 @@
 use quincewheel_store::{Commit, Error, Expect, Read};
 use tokio::time::timeout;
 
-use super::handover::leave_if_cut_off;
-use super::news;
-use super::own::{depose, put, step};
+use super::handover::hand_over_if_cut_off;
+use super::job_events;
+use super::ownership::{depose, put, tick};
 use super::state::{Shared, Site};
 
-/// The owner writes its row at least this often, in milliseconds.
-pub(crate) const RENEW: u64 = 500;
-/// Progress that no client waits for is recorded after this time, in
-/// milliseconds, together with what else there is by then.
-const GATHER: u64 = 20;
-/// A write without an answer is repeated after this time: a slow table answers
-/// within some 450 ms, and others take the ownership over after 1,700.
-const TIMEOUT: Duration = Duration::from_millis(700);
-/// An owner looks whether it is cut off from the table when a write has had no answer
-/// for so long: most of what a slow table takes.
-const SLOW: Duration = Duration::from_millis(350);
-/// Most jobs whose rows are dropped with one record; four rows each, and a
-/// transaction takes 100 rows.
-const EXPIRED: usize = 5;
-/// Pause after a write that failed.
-const PAUSE: Duration = Duration::from_millis(200);
-/// Longest time between two looks at whether something is to be recorded. What clients
-/// wait for is not looked for, but told.
-const LOOK: Duration = Duration::from_millis(20);
+/// Longest interval between two writes of the owner's row, in milliseconds.
+pub(crate) const RENEWAL_INTERVAL_MS: u64 = 500;
+/// Progress that no client waits for is recorded after this delay, in milliseconds, in one batch
+/// with other changes.
+const BATCH_DELAY_MS: u64 = 20;
+/// A write without a reply is repeated after this time. A slow table takes some 450 ms, and
+/// another entry takes over after 1,700 ms.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(700);
+/// An owner checks whether it is cut off from the table after a write without a reply for this
+/// long, which is most of what a slow table takes.
+const CUT_OFF_CHECK_DELAY: Duration = Duration::from_millis(350);
+/// Maximum number of jobs whose rows are deleted with one batch. A job has four rows, and a
+/// transaction takes 100.
+const MAX_EXPIRED_JOBS: usize = 5;
+/// Delay after a failed write.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Interval at which the owner is checked for changes to record. Changes that clients wait for
+/// notify the loop instead.
+const OWNER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// And while this entry does not own: a claim is told. Half of the wake-ups of an entry that
-/// does not own were such looks, 50 a second.
-const IDLE: Duration = Duration::from_secs(1);
+/// The same for an entry that does not own; a claim notifies the loop. Checking 50 times a second
+/// caused half of the wake-ups of such an entry.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Records what the owner wants recorded, one transaction after the other,
-/// and renews the ownership with each.
-pub(crate) async fn record(shared: Shared) {
-    let mut last = 0;
+/// Records the owner's changes, one transaction at a time, and renews the ownership with each.
+pub(crate) async fn record_changes(shared: Shared) {
+    let mut last_write_at = 0;
     loop {
         let now = quincewheel_clock::boot();
-        let wanted = shared.owner.borrow().as_ref().is_some_and(|owner| {
-            let told = !shared.unproven.borrow().is_empty();
-            told || owner.has_urgent_changes()
-                || (owner.has_unrecorded() && now >= last + GATHER)
-                || now >= last + RENEW
+        let due = shared.owner.borrow().as_ref().is_some_and(|owner| {
+            let unconfirmed = !shared.unconfirmed_jobs.borrow().is_empty();
+            unconfirmed
+                || owner.has_urgent_changes()
+                || (owner.has_unrecorded() && now >= last_write_at + BATCH_DELAY_MS)
+                || now >= last_write_at + RENEWAL_INTERVAL_MS
         });
-        if !wanted {
-            let pause = if shared.owner.borrow().is_some() { LOOK } else { IDLE };
-            let _ = tokio::time::timeout(pause, shared.unrecorded.notified()).await;
+        if !due {
+            let pause = if shared.owner.borrow().is_some() {
+                OWNER_CHECK_INTERVAL
+            } else {
+                IDLE_CHECK_INTERVAL
+            };
+            let _ = tokio::time::timeout(pause, shared.record_due.notified()).await;
             continue;
         }
-        last = now;
+        last_write_at = now;
         let batch = shared.owner.borrow_mut().as_mut().and_then(Owner::next_batch);
         write(&shared, &batch.unwrap_or_default()).await;
-        step(&shared);
+        tick(&shared);
     }
 }
 
-/// Writes a batch until it is known to be written or the ownership is lost.
+/// Writes a batch until it is confirmed or the ownership is lost.
 ///
-/// Each write replaces the ownership row, so that a write which the table
-/// performs seconds late finds another version and changes nothing.
+/// Each write also replaces the ownership row, so that a write which the table performs seconds
+/// late conflicts and has no effect.
 async fn write(shared: &Site, batch: &Batch) {
-    let Some((mut mine, mut version)) = shared.held.borrow().clone() else { return };
+    let Some((mut mine, mut version)) = shared.ownership.borrow().clone() else { return };
     mine.sequence += 1;
     mine.settled = shared.owner.borrow().as_ref().is_some_and(Owner::is_settled);
     let mut commit = Commit {
@@ -77,88 +81,89 @@
         delete: Vec::new(),
     };
     let now = quincewheel_clock::boot();
-    let expired = shared.mirror.borrow_mut().expired_jobs(now, keep(shared), EXPIRED);
+    let expired =
+        shared.mirror.borrow_mut().expired_jobs(now, retention_ms(shared), MAX_EXPIRED_JOBS);
     commit.delete.extend(expired.iter().flat_map(|id| rows::job_keys(id)));
     commit.put.extend(batch.times.as_ref().map(|times| put(TIMES_KEY.to_owned(), times)));
     commit
         .put
         .extend(batch.checkpoints.iter().map(|(id, saved)| put(rows::checkpoints_key(id), saved)));
-    let seen = batch.waves.iter().map(|(number, seen)| put(rows::wave_key(*number), seen));
-    commit.put.extend(seen);
+    let waves = batch.waves.iter().map(|(number, wave)| put(rows::wave_key(*number), wave));
+    commit.put.extend(waves);
     commit.delete.extend(batch.departed.iter().map(|name| rows::node_key(name)));
     commit
         .put
         .extend(batch.jobs.iter().map(|(id, progress)| put(rows::progress_key(id), progress)));
     loop {
-        let sent = quincewheel_clock::boot();
-        let mut writing = pin!(shared.table.commit(&commit, TIMEOUT));
-        let result = match timeout(SLOW, &mut writing).await {
+        let sent_at = quincewheel_clock::boot();
+        let mut commit_in_flight = pin!(shared.table.commit(&commit, COMMIT_TIMEOUT));
+        let result = match timeout(CUT_OFF_CHECK_DELAY, &mut commit_in_flight).await {
             Ok(result) => result,
-            Err(_) if leave_if_cut_off(shared).await => return,
-            Err(_) => writing.await,
+            Err(_) if hand_over_if_cut_off(shared).await => return,
+            Err(_) => commit_in_flight.await,
         };
         match result {
-            Ok(written) => {
-                version = written;
+            Ok(committed) => {
+                version = committed;
                 let mut owner = shared.owner.borrow_mut();
                 if let Some(owner) = owner.as_mut().filter(|owner| owner.epoch() == mine.epoch) {
-                    owner.renew_ownership(sent);
+                    owner.renew_ownership(sent_at);
                 }
                 drop(owner);
-                finish(shared, batch, &mine, version, sent);
-                return drop_rows(shared, &expired);
+                on_written(shared, batch, &mine, version, sent_at);
+                return remove_expired(shared, &expired);
             }
             Err(Error::Conflict { .. }) => match read_owner(shared).await {
-                Ok((found, at)) if found == mine => {
-                    // An earlier try of this very write had taken effect.
-                    finish(shared, batch, &mine, at, sent);
-                    return drop_rows(shared, &expired);
+                Ok((found, found_version)) if found == mine => {
+                    // An earlier attempt of this same write took effect.
+                    on_written(shared, batch, &mine, found_version, sent_at);
+                    return remove_expired(shared, &expired);
                 }
                 Ok((found, _)) => {
                     return depose(shared, &format!("epoch {} is in force", found.epoch));
                 }
-                Err(error) => shared.table_answered(Err(&error)),
+                Err(error) => shared.record_table_reply(Err(&error)),
             },
-            Err(error) => shared.table_answered(Err(&error)),
+            Err(error) => shared.record_table_reply(Err(&error)),
         }
-        if shared.owner.borrow().is_none() || leave_if_cut_off(shared).await {
+        if shared.owner.borrow().is_none() || hand_over_if_cut_off(shared).await {
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// How long an ended job's rows stay. Beyond the time for which its state must
-/// be told, half of it again: a client's submission may be sent once more, and
-/// would find no row and run anew.
-fn keep(shared: &Site) -> u64 {
+/// How long the rows of an ended job are kept, in milliseconds: one and a half times the period
+/// for which its state must be available. A client may repeat its submission that late, and
+/// without the row the job would run again.
+fn retention_ms(shared: &Site) -> u64 {
     shared.bounds.get().keep * 3 / 2
 }
 
-fn drop_rows(shared: &Site, expired: &[Id]) {
+fn remove_expired(shared: &Site, expired: &[Id]) {
     if let Some(owner) = shared.owner.borrow_mut().as_mut() {
         owner.remove_ended_jobs(expired);
     }
 }
 
-fn finish(shared: &Site, batch: &Batch, mine: &Ownership, version: u64, sent: u64) {
+fn on_written(shared: &Site, batch: &Batch, mine: &Ownership, version: u64, sent_at: u64) {
     let mut owner = shared.owner.borrow_mut();
     let Some(owner) = owner.as_mut() else { return };
     if owner.epoch() != mine.epoch {
         return;
     }
-    *shared.held.borrow_mut() = Some((mine.clone(), version));
-    owner.confirm_ownership(sent);
+    *shared.ownership.borrow_mut() = Some((mine.clone(), version));
+    owner.confirm_ownership(sent_at);
     owner.on_recorded(batch, true);
-    news::prove(shared, owner, version);
+    job_events::confirm(shared, owner, version);
     let mut mirror = shared.mirror.borrow_mut();
-    shared.recorded.notify_waiters();
+    shared.record_done.notify_waiters();
     for name in batch.departed.iter().filter(|name| owner.is_dismissed(name)) {
-        // Nor is it dialled until the feed tells a new row.
+        // Prevents the member from being dialled before the feed delivers a new row of it.
         mirror.nodes.remove(name);
     }
     for (id, progress) in &batch.jobs {
-        // The owner's own clients need not wait for the feed.
+        // The owner's own clients see the progress without waiting for the feed.
         if let Some(view) = mirror.jobs.get_mut(id) {
             view.update_progress(progress.clone(), version);
         }
@@ -167,7 +172,8 @@
 
 pub(crate) async fn read_owner(shared: &Site) -> Result<(Ownership, u64), Error> {
     let read = Read { prefix: OWNER_KEY.to_owned(), after: String::new(), limit: 1 };
-    let (page, _) = shared.table.read(Space::Own, rows::part_of(OWNER_KEY), &read, TIMEOUT).await?;
+    let (page, _) =
+        shared.table.read(Space::Own, rows::part_of(OWNER_KEY), &read, COMMIT_TIMEOUT).await?;
     let row = page.rows.into_iter().next();
     let found = row.and_then(|row| {
         serde_json::from_str(&row.value).ok().map(|owner: Ownership| (owner, row.version))
--- a/crates/entry/src/site/rpc.rs
+++ b/crates/entry/src/site/rpc.rs
@@ -1,4 +1,4 @@
-//! The product's own remote procedures for jobs of steps and tasks.
+//! Remote procedures for jobs of steps and tasks.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use crate::connect::{Code, Codec, Fault};
 
-/// Where the procedures are served.
+/// Path under which the procedures are served.
 pub(crate) const PREFIX: &str = "/quincewheel.jobs.v1.Jobs/";
 
-/// What a call asks for.
+/// Resolves a call against the configuration.
 pub(crate) fn target(
     config: &Config,
     name: &str,
@@ -55,7 +55,7 @@
     Ok(Target { call, queue, team, keyed: true })
 }
 
-/// The job that a submission holds.
+/// Decodes the job of a submission.
 pub(crate) fn job(
     target: &Target,
     codec: Codec,
@@ -102,29 +102,29 @@
     }
 }
 
-/// The answer in the form that the caller understands.
+/// Encodes a reply.
 pub(crate) fn encode(name: &str, codec: Codec, answer: &Answer) -> Reply {
     match answer {
         Answer::Accepted => codec.reply(&schema::SubmitReply {}),
-        Answer::Cancelled => state(codec, schema::State::Cancelled),
-        Answer::State(told) => state(codec, word(*told)),
+        Answer::Cancelled => state_reply(codec, schema::State::Cancelled),
+        Answer::State(state) => state_reply(codec, schema_state(*state)),
         Answer::Waiting(waiting) => {
             codec.reply(&schema::CountWaitingReply { waiting: *waiting as u64 })
         }
         Answer::Unknown => Fault::new(Code::NotFound, "no such job").reply(),
-        Answer::Refused(Refusal::Queue) => named("queue", Code::NotFound, "no such queue"),
+        Answer::Refused(Refusal::Queue) => field_fault("queue", Code::NotFound, "no such queue"),
         Answer::Refused(Refusal::Key) => {
-            named("authorization", Code::Unauthenticated, "give a team's key as bearer token")
+            field_fault("authorization", Code::Unauthenticated, "give a team's key as bearer token")
         }
         Answer::Refused(Refusal::Path) => {
             Fault::new(Code::Unimplemented, &format!("no procedure {name}")).reply()
         }
         Answer::Invalid(text) => {
-            // The text begins with the field's name.
+            // The message begins with the field's name.
             let field = text.split(' ').next().unwrap_or_default();
             Fault::invalid(field, text).reply()
         }
-        Answer::Oversized => named("body", Code::ResourceExhausted, "the body is too large"),
+        Answer::Oversized => field_fault("body", Code::ResourceExhausted, "the body is too large"),
         Answer::Unavailable(after) => {
             let fault = Fault::new(Code::Unavailable, "nothing was done; try again");
             fault.retry_after(Duration::from_millis(*after)).reply()
@@ -135,17 +135,17 @@
     }
 }
 
-fn named(field: &str, code: Code, message: &str) -> Reply {
+fn field_fault(field: &str, code: Code, message: &str) -> Reply {
     let mut fault = Fault::new(code, message);
     fault.detail.field = field.to_owned();
     fault.reply()
 }
 
-fn state(codec: Codec, state: schema::State) -> Reply {
+fn state_reply(codec: Codec, state: schema::State) -> Reply {
     codec.reply(&schema::StateReply { state: state.into() })
 }
 
-fn word(state: State) -> schema::State {
+fn schema_state(state: State) -> schema::State {
     match state {
         State::Queued => schema::State::Queued,
         State::Running => schema::State::Running,
--- a/crates/entry/src/site/state.rs
+++ b/crates/entry/src/site/state.rs
@@ -14,108 +14,112 @@
 use quincewheel_wire::{LinkId, Sent};
 use tokio::sync::Notify;
 
-use super::asks::Asks;
-use super::dials::Dials;
+use super::backoff::Backoff;
 use super::gate::Gate;
+use super::machines::MachineCall;
 use super::metrics::Metrics;
-use super::skips;
-use super::upkeep::Wish;
+use super::queries::Queries;
+use super::skipped;
 
-/// The deciding thread's state, shared by its tasks.
+/// State of the decision thread, shared by its tasks.
 pub(crate) type Shared = Rc<Site>;
 
-/// How long an owner's row must stand still before another takes over, in
-/// milliseconds. An owner writes it every 500 ms; a slow table takes up to 450
-/// for one write, and a write whose answer is lost is repeated after 700.
-const PATIENCE: u64 = 1700;
+/// How long an owner's row must not change before another entry takes over, in milliseconds. An
+/// owner writes it every 500 ms; a slow table takes up to 450 ms for one write, and a write whose
+/// reply is lost is repeated after 700 ms.
+const OWNER_ROW_TIMEOUT_MS: u64 = 1700;
 
-/// When nothing was done, a new try makes sense after this many milliseconds.
-const RETRY: u64 = 1000;
-/// And after this many at the most: most jobs have so much time to spare.
-const LONGEST_RETRY: u64 = 3000;
+/// Shortest delay after which a client is told to retry, in milliseconds.
+const MIN_RETRY_AFTER_MS: u64 = 1000;
+/// Longest such delay, in milliseconds; most jobs have that much slack.
+const MAX_RETRY_AFTER_MS: u64 = 3000;
 
-/// Calls in a row without an answer after which the table counts as lost.
-const LOST: u32 = 2;
+/// Consecutive failed calls after which the table counts as lost.
+const LOST_TABLE_FAILURES: u32 = 2;
 
-/// What an entry knows.
+/// State of an entry.
 pub(crate) struct Site {
     pub settings: platform::Site,
-    /// Times that the platform sets, as last read.
+    /// Time limits that the platform sets, as last loaded.
     pub bounds: Cell<Bounds>,
     pub incarnation: u64,
     pub table: Table,
-    /// Long polls wait on connections of their own.
+    /// The table, for long polls, which use connections of their own.
     pub feed: Table,
     pub hub: Hub<Sent>,
     pub gate: Arc<Gate>,
     pub metrics: Arc<Metrics>,
-    /// Takes note of entries of the platform's lists that cannot be read.
-    pub skip: Skip,
+    /// Counts and logs entries of the platform's lists that cannot be read.
+    pub on_skipped: Skip,
     pub config: RefCell<Option<Config>>,
-    /// When the call was sent by which the table last proved the configuration
-    /// to be the newest.
-    pub proved: Cell<u64>,
+    /// When the call was sent by which the table last confirmed that the configuration is current.
+    pub config_confirmed_at: Cell<u64>,
     pub mirror: RefCell<Mirror>,
-    /// When the table last told all changes of the system's own rows; 0 before.
-    pub heard: Cell<u64>,
+    /// When changes of the system's own rows last arrived from the table; 0 before the first.
+    pub rows_updated_at: Cell<u64>,
     pub election: RefCell<Election>,
     pub owner: RefCell<Option<Owner>>,
-    /// The ownership as this entry wrote it, and its version.
-    pub held: RefCell<Option<(Ownership, u64)>>,
-    /// Processes that are being dialled.
-    pub dials: RefCell<Dials>,
-    /// Connections to other entries, by name, where this entry owns.
-    pub entries: RefCell<BTreeMap<String, LinkId>>,
-    /// The connection that the owner made to this entry, and the owner's name.
-    pub from_owner: RefCell<Option<(LinkId, String)>>,
-    /// Jobs that the owner may not decide over yet.
-    pub unproven: RefCell<UnconfirmedJobs>,
-    /// Questions to other entries that wait for an answer.
-    pub asks: RefCell<Asks>,
-    /// The owner did not answer one, and is not asked before this time.
-    pub owner_silent: Cell<u64>,
-    /// Submissions whose write got no answer.
-    pub unsettled: RefCell<UnansweredWrites>,
-    /// Calls in a row that the table did not answer.
-    pub failures: Cell<u32>,
-    /// Since when the table has not answered; none while it does.
-    pub table_lost: Cell<Option<u64>>,
-    /// Availability zones that operators evacuate; none before the table has told.
+    /// The ownership row as this entry last wrote it, and its version.
+    pub ownership: RefCell<Option<(Ownership, u64)>>,
+    /// Backoff of the processes that are dialled.
+    pub backoff: RefCell<Backoff>,
+    /// Connections to the other entries by name, while this entry owns.
+    pub entry_links: RefCell<BTreeMap<String, LinkId>>,
+    /// The connection that the owner opened to this entry, and the owner's name.
+    pub owner_link: RefCell<Option<(LinkId, String)>>,
+    /// Jobs that the owner must not schedule before its ownership is confirmed.
+    pub unconfirmed_jobs: RefCell<UnconfirmedJobs>,
+    /// Queries to other entries that wait for a reply.
+    pub queries: RefCell<Queries>,
+    /// The owner did not reply to a query and is not queried again before this time.
+    pub owner_cooldown_until: Cell<u64>,
+    /// Submissions whose write got no reply.
+    pub unanswered_writes: RefCell<UnansweredWrites>,
+    /// Consecutive calls that the table did not answer.
+    pub consecutive_failures: Cell<u32>,
+    /// Since when the table has not answered; `None` while it does.
+    pub table_lost_since: Cell<Option<u64>>,
+    /// Availability zones that operators evacuate; `None` before they have been read.
     pub evacuation: RefCell<Option<Evacuation>>,
-    /// Waves of maintenance that operators asked for.
+    /// Waves of maintenance that operators have scheduled.
     pub waves: RefCell<BTreeMap<u64, Wave>>,
-    /// What the owner wants of the machines.
-    pub wishes: RefCell<Vec<Wish>>,
-    /// There is some.
-    pub wished: Notify,
-    /// The owner's next question to the service that clears steps.
-    pub question: RefCell<Option<ClearanceRequest>>,
-    /// There is one.
-    pub asked: Notify,
-    /// The owner's connection to this entry is gone: its row is to be looked at.
-    pub unowned: Notify,
-    /// Something is to be recorded that clients wait for.
-    pub unrecorded: Notify,
-    /// A record is through.
-    pub recorded: Notify,
-    /// Something changed that the owner's loop should look at.
+    /// Calls about machines that the owner has requested and that have not been sent yet.
+    pub machine_calls: RefCell<Vec<MachineCall>>,
+    /// Notified when such a call is added.
+    pub machine_call_added: Notify,
+    /// The owner's next request to the clearance service.
+    pub clearance_request: RefCell<Option<ClearanceRequest>>,
+    /// Notified when that request is set.
+    pub clearance_requested: Notify,
+    /// Notified when the owner's connection to this entry closes, so that its row is polled at
+    /// once.
+    pub owner_disconnected: Notify,
+    /// Notified when there is something to record that clients wait for.
+    pub record_due: Notify,
+    /// Notified when a batch has been recorded.
+    pub record_done: Notify,
+    /// Notified when the owner's loop should run.
     pub wake: Notify,
 }
 
 impl Site {
-    pub fn open(
+    pub fn new(
         settings: platform::Site,
         incarnation: u64,
         hub: Hub<Sent>,
         gate: Arc<Gate>,
         metrics: Arc<Metrics>,
     ) -> Site {
-        let skip = skips::open(Arc::clone(&metrics));
+        let on_skipped = skipped::handler(Arc::clone(&metrics));
         Site {
-            table: Table::open(&settings.table, Rc::clone(&skip)),
-            feed: Table::open(&settings.table, Rc::clone(&skip)),
-            skip,
-            election: RefCell::new(Election::new(&settings.name, incarnation, PATIENCE)),
+            table: Table::open(&settings.table, Rc::clone(&on_skipped)),
+            feed: Table::open(&settings.table, Rc::clone(&on_skipped)),
+            on_skipped,
+            election: RefCell::new(Election::new(
+                &settings.name,
+                incarnation,
+                OWNER_ROW_TIMEOUT_MS,
+            )),
             bounds: Cell::new(settings.bounds),
             settings,
             incarnation,
@@ -123,88 +127,86 @@
             gate,
             metrics,
             config: RefCell::new(None),
-            proved: Cell::new(0),
+            config_confirmed_at: Cell::new(0),
             mirror: RefCell::default(),
-            heard: Cell::new(0),
+            rows_updated_at: Cell::new(0),
             owner: RefCell::new(None),
-            held: RefCell::new(None),
-            dials: RefCell::default(),
-            entries: RefCell::default(),
-            from_owner: RefCell::new(None),
-            unproven: RefCell::default(),
-            asks: RefCell::default(),
-            owner_silent: Cell::new(0),
-            unsettled: RefCell::default(),
-            failures: Cell::new(0),
-            table_lost: Cell::new(None),
+            ownership: RefCell::new(None),
+            backoff: RefCell::default(),
+            entry_links: RefCell::default(),
+            owner_link: RefCell::new(None),
+            unconfirmed_jobs: RefCell::default(),
+            queries: RefCell::default(),
+            owner_cooldown_until: Cell::new(0),
+            unanswered_writes: RefCell::default(),
+            consecutive_failures: Cell::new(0),
+            table_lost_since: Cell::new(None),
             evacuation: RefCell::default(),
             waves: RefCell::default(),
-            wishes: RefCell::default(),
-            wished: Notify::new(),
-            question: RefCell::new(None),
-            asked: Notify::new(),
-            unowned: Notify::new(),
-            unrecorded: Notify::new(),
-            recorded: Notify::new(),
+            machine_calls: RefCell::default(),
+            machine_call_added: Notify::new(),
+            clearance_request: RefCell::new(None),
+            clearance_requested: Notify::new(),
+            owner_disconnected: Notify::new(),
+            record_due: Notify::new(),
+            record_done: Notify::new(),
             wake: Notify::new(),
         }
     }
 
-    /// True if the configuration is known to be new enough to honour keys by.
-    /// A key that was taken away must stop working within a bound even where
-    /// the table cannot be reached.
-    pub fn current(&self, now: u64) -> bool {
+    /// True if the configuration is recent enough to accept its keys. A revoked key must stop
+    /// working within a fixed time even if the table cannot be reached.
+    pub fn is_config_current(&self, now: u64) -> bool {
         let bound = self.bounds.get().revoke * 9 / 10;
-        self.config.borrow().is_some() && now < self.proved.get() + bound
+        self.config.borrow().is_some() && now < self.config_confirmed_at.get() + bound
     }
 
-    /// When a client may come back whose call could not be taken, in
-    /// milliseconds. An outage that has lasted for a while goes on for about as
-    /// long again: clients who come back each second would have spent all their
-    /// tries before its end.
-    pub fn retry(&self, now: u64) -> u64 {
-        let age = self.table_lost.get().map_or(0, |since| now.saturating_sub(since));
-        age.clamp(RETRY, LONGEST_RETRY)
+    /// Delay in milliseconds after which a client whose call was not executed should retry. It
+    /// grows with the age of an outage, which often lasts about as long again: clients that
+    /// retried every second would use up their attempts before its end.
+    pub fn retry_after_ms(&self, now: u64) -> u64 {
+        let age = self.table_lost_since.get().map_or(0, |since| now.saturating_sub(since));
+        age.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
     }
 
-    /// True while the table is known not to answer.
     pub fn is_table_lost(&self) -> bool {
-        self.table_lost.get().is_some()
+        self.table_lost_since.get().is_some()
     }
 
-    /// Takes note of whether the table answers, and logs each change. One lost
-    /// answer is no outage; a table that truly answers less than every other
-    /// call is as good as lost.
-    pub fn table_answered(&self, answered: Result<(), &Error>) {
+    /// Records whether the table answered a call, and logs when it becomes lost or returns. One
+    /// lost reply is no outage; a table that answers fewer than every other call counts as lost.
+    pub fn record_table_reply(&self, reply: Result<(), &Error>) {
         let now = quincewheel_clock::boot();
-        let Err(error) = answered else {
-            self.failures.set(0);
-            if let Some(since) = self.table_lost.take() {
+        let Err(error) = reply else {
+            self.consecutive_failures.set(0);
+            if let Some(since) = self.table_lost_since.take() {
                 log::info!(event = "table back", ms = now - since; "");
             }
             return;
         };
-        self.failures.set(self.failures.get() + 1);
-        if self.failures.get() >= LOST && !self.is_table_lost() {
-            self.table_lost.set(Some(now));
+        self.consecutive_failures.set(self.consecutive_failures.get() + 1);
+        if self.consecutive_failures.get() >= LOST_TABLE_FAILURES && !self.is_table_lost() {
+            self.table_lost_since.set(Some(now));
             log::warn!(event = "table lost"; "{error}");
         }
     }
 
-    /// Tells the platform whether to send clients here.
-    pub fn show_ready(&self, now: u64) {
-        // An entry that cannot reach the table can take nothing on; others may.
-        let serves = self.heard.get() > 0 && self.current(now) && !self.is_table_lost();
-        self.gate.set_ready(serves);
+    /// Updates the readiness that the platform polls, and the gauges.
+    pub fn update_status(&self, now: u64) {
+        // An entry that cannot reach the table cannot accept jobs, while others may.
+        let ready =
+            self.rows_updated_at.get() > 0 && self.is_config_current(now) && !self.is_table_lost();
+        self.gate.set_ready(ready);
         let version = self.config.borrow().as_ref().map_or(0, |config| config.version);
         self.metrics.config.set(version as i64);
-        self.metrics.config_age.set(now.saturating_sub(self.proved.get()) as i64);
-        self.metrics.table_lost.set(i64::from(self.table_lost.get().is_some()));
+        self.metrics.config_age.set(now.saturating_sub(self.config_confirmed_at.get()) as i64);
+        self.metrics.table_lost.set(i64::from(self.table_lost_since.get().is_some()));
         let owner = self.owner.borrow();
         self.metrics.epoch.set(owner.as_ref().map_or(0, |owner| owner.epoch() as i64));
         self.metrics.jobs.set(owner.as_ref().map_or(0, |owner| owner.active_jobs() as i64));
-        self.metrics.waiting(&owner.as_ref().map(Owner::long_waits).unwrap_or_default());
-        self.metrics.unlisted(owner.as_ref().map_or(0, Owner::unlisted_runs));
-        self.metrics.evacuated(owner.as_ref().map(Owner::evacuation_counts).unwrap_or_default());
+        self.metrics.set_waits(&owner.as_ref().map(Owner::long_waits).unwrap_or_default());
+        self.metrics.set_unlisted_runs(owner.as_ref().map_or(0, Owner::unlisted_runs));
+        self.metrics
+            .set_evacuation(owner.as_ref().map(Owner::evacuation_counts).unwrap_or_default());
     }
 }
