--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -200,7 +200,7 @@
         let known = self.jobs.contains_key(id)
             || self.ended_jobs.contains(id)
             || version <= self.loaded_version;
-        if known || progress.as_ref().is_some_and(|p| p.state.ended()) {
+        if known || progress.as_ref().is_some_and(|p| p.state.is_final()) {
             return;
         }
         let entry = Entry {
@@ -356,7 +356,7 @@
     /// True if the owner knows that the job has ended, recorded or not.
     pub fn has_ended(&self, id: &str) -> bool {
         let over = || self.ended_jobs.contains(id);
-        self.jobs.get(id).map_or_else(over, |entry| entry.progress.state.ended())
+        self.jobs.get(id).map_or_else(over, |entry| entry.progress.state.is_final())
     }
 
     /// Number of jobs that have not ended.
@@ -367,7 +367,7 @@
     /// Ends a job: whatever runs is stopped.
     pub(crate) fn end_job(&mut self, id: &str, state: State, now: u64) {
         let Some(entry) = self.jobs.get_mut(id) else { return };
-        if entry.progress.state.ended() {
+        if entry.progress.state.is_final() {
             return;
         }
         entry.progress.state = state;
@@ -389,7 +389,7 @@
         let detail = match entry.job.schedule {
             Some(_) => format!("{state:?}, scheduled"),
             None => {
-                let objective = guide.goal(entry, 0).objective();
+                let objective = guide.goal(entry, 0).duration_ms();
                 format!("{state:?}, objective {objective} ms")
             }
         };
@@ -415,7 +415,8 @@
         if let Some(entry) = self.jobs.get_mut(id) {
             entry.runs.remove(&key);
             self.replan = true;
-            if entry.progress.state.ended() && entry.runs.is_empty() && !self.dirty.contains(id) {
+            if entry.progress.state.is_final() && entry.runs.is_empty() && !self.dirty.contains(id)
+            {
                 self.mark_dirty(id, false);
             }
         }
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -2,9 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use quincewheel_job::{Id, Incarnation, Need, Step};
-use quincewheel_place::{Ask, Hold, Spot, pack};
-use quincewheel_policy::{APART, Guarantees, Rank, is_half_free, spare, unspare, weight};
+use quincewheel_job::{Id, Incarnation, Resources, Step};
+use quincewheel_place::{Protection, Request, WorkerState, pack};
+use quincewheel_policy::{
+    Guarantees, Rank, START_ISOLATION_MS, core_weight, is_half_free, release_whole_workers,
+    reserve_whole_workers,
+};
 use quincewheel_wire::Order;
 
 use crate::candidate::Candidate;
@@ -34,7 +37,7 @@
         }
         // What waits for a suspect to outlive its start is decided by time alone.
         if snapshot.recent_starts.values().any(|fresh| *fresh == RecentStart::Suspect) {
-            self.schedule_replan(wall + APART);
+            self.schedule_replan(wall + START_ISOLATION_MS);
         }
         self.note_held_back(now, wall);
         self.tell_waited(now);
@@ -53,7 +56,8 @@
         for (id, entry) in jobs {
             // What a former owner may have started is known only once all
             // agents were heard.
-            if entry.progress.state.ended() || (!settled && entry.version <= self.claim_version) {
+            if entry.progress.state.is_final() || (!settled && entry.version <= self.claim_version)
+            {
                 continue;
             }
             for occurrence in 0..entry.job.occurrences() {
@@ -76,15 +80,15 @@
                         // would take the room back that was made for them.
                         let covered = entry.job.queue.priority == 0
                             && !entry.guarantee_preempted
-                            && guarantees.cover(&entry.job.team, need);
+                            && guarantees.try_use(&entry.job.team, need);
                         let rank = Rank {
                             borrowed: !covered,
                             priority: entry.job.queue.priority,
-                            hope: goal.hope(wall),
-                            latest: goal.latest(),
+                            lateness: goal.lateness(wall),
+                            latest_start: goal.latest_start(),
                             version: entry.version,
                         };
-                        let work = weight(step) * guide.expect(entry, number, step);
+                        let work = core_weight(step) * guide.expect(entry, number, step);
                         found.push(Candidate::open(id, (occurrence, number), group, rank, work));
                     }
                 }
@@ -103,10 +107,10 @@
     }
 
     /// What the workers of each pool have in all.
-    pub(crate) fn pools(&self) -> BTreeMap<String, Need> {
-        let mut pools: BTreeMap<String, Need> = BTreeMap::new();
+    pub(crate) fn pools(&self) -> BTreeMap<String, Resources> {
+        let mut pools: BTreeMap<String, Resources> = BTreeMap::new();
         for worker in self.agents.values().filter_map(|agent| agent.worker.as_ref()) {
-            pools.entry(worker.pool.clone()).or_default().give(&worker.capacity);
+            pools.entry(worker.pool.clone()).or_default().add(&worker.capacity);
         }
         pools
     }
@@ -151,7 +155,7 @@
         for entry in self.jobs.values().filter(|entry| entry.job.queue.priority == 0) {
             for key in entry.runs.keys() {
                 let need = entry.step(*key).map_or(0, |step| step.need.accelerators);
-                guarantees.hold(&entry.job.team, need);
+                guarantees.record_use(&entry.job.team, need);
             }
         }
         guarantees
@@ -189,7 +193,7 @@
             return;
         }
         if !barred.apart.is_empty() {
-            self.schedule_replan(wall + APART);
+            self.schedule_replan(wall + START_ISOLATION_MS);
         }
         if !barred.uncleared.is_empty() {
             self.request_clearance(
@@ -231,7 +235,7 @@
             return Vec::new();
         }
         let key = (candidate.occurrence, candidate.step, 0);
-        let cleared = |spot: &Spot| entry.ticket(key, &spot.worker, now).is_some();
+        let cleared = |spot: &WorkerState| entry.ticket(key, &spot.incarnation, now).is_some();
         let places = snapshot.spots.iter().enumerate();
         places.filter(|(_, spot)| !cleared(spot)).map(|(place, _)| place).collect()
     }
@@ -251,12 +255,22 @@
         let count = candidate.tasks.len() as u32;
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
         let patient = wall < begin + PATIENCE;
-        let ask = Ask { step, pool, count, patient, over: Hold::Lower, sure: false, held: &held };
+        let ask = Request {
+            step,
+            pool,
+            count,
+            waits_for_rack: patient,
+            preempts: Protection::Lower,
+            ignores_ending: false,
+            tasks_by_worker: &held,
+        };
         let waits_until =
             self.waits_until(candidate, is_half_free(&snapshot.spots, pool), (now, wall));
-        let spared = waits_until.map(|_| spare(&mut snapshot.spots, pool)).unwrap_or_default();
+        let spared = waits_until
+            .map(|_| reserve_whole_workers(&mut snapshot.spots, pool))
+            .unwrap_or_default();
         let choices = pack(&snapshot.spots, &ask);
-        let spared = unspare(&mut snapshot.spots, spared);
+        let spared = release_whole_workers(&mut snapshot.spots, spared);
         let started = choices.len();
         if started < candidate.tasks.len() {
             // Time alone gives it places that it leaves to others now.
@@ -269,7 +283,7 @@
             candidate.tasks.iter().copied().zip(choices.iter().copied()).collect();
         self.start_tasks(candidate, step, &pairs, snapshot, now);
         // Nobody gives way to what may crash the worker that is cleared for it.
-        let takes = candidate.rank.takes_room() && !candidate.suspect;
+        let takes = candidate.rank.may_preempt() && !candidate.suspect;
         if takes && started < candidate.tasks.len() {
             self.make_room(candidate, step, pool, started, snapshot, (now, wall));
         }
@@ -289,7 +303,7 @@
         half_free: bool,
         (now, wall): (u64, u64),
     ) -> Option<u64> {
-        let until = candidate.rank.waits_until().filter(|&until| until > wall)?;
+        let until = candidate.rank.yields_workers_until().filter(|&until| until > wall)?;
         let idle = self.jobs.get(&candidate.id).and_then(|entry| entry.idle_since);
         match idle.filter(|_| half_free) {
             Some(since) if now >= since + IDLE => None,
@@ -318,12 +332,12 @@
         snapshot: &mut Snapshot,
         now: u64,
     ) {
-        let need = step.charge();
+        let need = step.resources();
         let gang_unit = self.next_unit;
         for &(index, place) in pairs {
             let spot = &mut snapshot.spots[place];
-            spot.free.take(&need);
-            snapshot.actual_free[place].take(&need);
+            spot.free.subtract(&need);
+            snapshot.actual_free[place].subtract(&need);
             let name = spot.name.clone();
             let fresh = if candidate.suspect { RecentStart::Suspect } else { RecentStart::Any };
             fresh.record(&mut snapshot.recent_starts, place);
@@ -390,15 +404,15 @@
     id: &str,
 ) -> Vec<u32> {
     let progress = &entry.progress;
-    if progress.step_done(occurrence, number, step)
-        || !progress.ready(&entry.job, occurrence, step)
+    if progress.is_step_done(occurrence, number, step)
+        || !progress.is_step_ready(&entry.job, occurrence, step)
         || (step.gang && entry.has_runs(occurrence, number))
     {
         return Vec::new();
     }
     let open = |index: &u32| {
         let key = (occurrence, number, *index);
-        !entry.runs.contains_key(&key) && !progress.done(&task(id, key))
+        !entry.runs.contains_key(&key) && !progress.is_done(&task(id, key))
     };
     (0..step.count).filter(open).collect()
 }
@@ -406,16 +420,21 @@
 /// The workers at these places that could run a step, those with the most room
 /// first.
 fn roomiest(places: &[usize], snapshot: &Snapshot, pool: &str, label: &String) -> Vec<Incarnation> {
-    let fits =
-        |spot: &&Spot| spot.pool == pool && (label.is_empty() || spot.labels.contains(label));
-    let mut spots: Vec<&Spot> =
+    let fits = |spot: &&WorkerState| {
+        spot.pool == pool && (label.is_empty() || spot.labels.contains(label))
+    };
+    let mut spots: Vec<&WorkerState> =
         places.iter().map(|&place| &snapshot.spots[place]).filter(fits).collect();
     spots.sort_by_key(|spot| std::cmp::Reverse(spot.free.accelerators));
-    spots.into_iter().map(|spot| spot.worker.clone()).collect()
+    spots.into_iter().map(|spot| spot.incarnation.clone()).collect()
 }
 
 /// Tasks of the step that each worker has.
-pub(crate) fn held(entry: &Entry, (occurrence, step): (u32, u32), spots: &[Spot]) -> Vec<u32> {
+pub(crate) fn held(
+    entry: &Entry,
+    (occurrence, step): (u32, u32),
+    spots: &[WorkerState],
+) -> Vec<u32> {
     let range = (occurrence, step, 0)..=(occurrence, step, u32::MAX);
     let mut held = vec![0; spots.len()];
     for (_, placed) in entry.runs.range(range) {
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -31,29 +31,30 @@
             return;
         };
         let from = worker.incarnation();
-        let other = agent.worker.as_ref().is_none_or(|known| !known.is(&from));
-        let reborn = other && agent.worker.is_some();
-        if other {
+        let new_incarnation =
+            agent.worker.as_ref().is_none_or(|known| !known.is_incarnation(&from));
+        let restarted = new_incarnation && agent.worker.is_some();
+        if new_incarnation {
             // A machine list requested before this incarnation started cannot name it.
             agent.unresponsive_since = None;
             agent.last_end = 0;
             agent.acknowledged_end = 0;
             agent.consecutive_failures = 0;
             agent.doubted_until = 0;
-            agent.blame.clear();
+            agent.blame.reset();
             agent.refusals = Refusals::default();
             agent.shutdown_requested = false;
         }
-        if reborn {
+        if restarted {
             agent.silent_ms = 0;
         }
-        let changed = agent.worker.as_ref().is_some_and(|known| known.fits_others(&worker));
+        let changed = agent.worker.as_ref().is_some_and(|known| known.eligibility_differs(&worker));
         agent.zone_evacuated = self.evacuated.covers(&worker.zone);
         // Agents repeat the worker's last report, so the warm-up time counts from the first.
-        if agent.worker.as_ref().is_none_or(|known| known.cold != worker.cold) || other {
+        if agent.worker.as_ref().is_none_or(|known| known.cold != worker.cold) || new_incarnation {
             agent.cold_until = now + worker.cold;
         }
-        let first = fenced && !agent.fenced;
+        let first_answer = fenced && !agent.fenced;
         agent.no_worker_since = None;
         agent.worker_left = false;
         agent.worker = Some(worker);
@@ -62,11 +63,11 @@
         agent.listed_runs = running.iter().map(|run| (run.task.clone(), run.number)).collect();
         self.replan |= !std::mem::take(&mut agent.strays).is_empty();
         // A worker that broke its connections is schedulable again once it answers.
-        let broke = fenced && agent.crash.is_some();
-        if reborn || first || changed || broke {
+        let recovered = fenced && agent.crash.is_some();
+        if restarted || first_answer || changed || recovered {
             self.replan = true;
         }
-        if other {
+        if new_incarnation {
             self.drop_former_runs(name, &from, now);
         }
         for end in ended {
@@ -81,7 +82,7 @@
             self.drop_missing(name, running, now);
             self.stop_stalled_runs(name, now);
         }
-        if first {
+        if first_answer {
             self.resend_orders(name, &from, now);
         }
     }
@@ -169,10 +170,10 @@
         // A former owner started the later run only after the earlier one had ended, but the
         // agent of a lost worker still lists what ran there. Without this check the later,
         // live run would be stopped as a stray and its task started a second time.
-        let earlier = entry.runs.get(&key).is_some_and(|placed| placed.run < run.number);
-        if earlier && let Some(former) = entry.runs.remove(&key) {
+        let has_earlier = entry.runs.get(&key).is_some_and(|placed| placed.run < run.number);
+        if has_earlier && let Some(earlier) = entry.runs.remove(&key) {
             let detail =
-                format!("{key:?} run {} at {}: a later run is active", former.run, former.agent);
+                format!("{key:?} run {} at {}: a later run is active", earlier.run, earlier.agent);
             self.log("run lost", &run.task.job, detail);
         }
         let Some(entry) = self.jobs.get_mut(&run.task.job) else { return };
@@ -191,7 +192,7 @@
             }
             // The task has a later run or is done, so this run is a stray.
             Some(_) => self.stop_stray(name, from, &run.task, run.number, now),
-            None if entry.progress.done(&run.task) || entry.progress.state.ended() => {
+            None if entry.progress.is_done(&run.task) || entry.progress.state.is_final() => {
                 self.stop_stray(name, from, &run.task, run.number, now);
             }
             None => {
@@ -289,11 +290,11 @@
         if current || vacant {
             entry.update_checkpoint(slot, &end.saved);
         }
-        let spent = run.as_ref().map(|run| run.timing_detail(now)).unwrap_or_default();
+        let timing = run.as_ref().map(|run| run.timing_detail(now)).unwrap_or_default();
         self.log(
             "run ended",
             &job,
-            format!("{} run {} {:?} at {name}{spent}", end.task, end.run, end.how),
+            format!("{} run {} {:?} at {name}{timing}", end.task, end.run, end.how),
         );
         if matches!(end.how, How::Done | How::Failed) {
             self.on_start_outlived(&end.task);
@@ -346,16 +347,16 @@
         if let Some(agent) = self.agents.get_mut(name) {
             agent.consecutive_failures = 0;
             agent.doubted_until = 0;
-            agent.blame.clear();
+            agent.blame.reset();
         }
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let before = entry.progress.state;
         let step = entry.job.steps.get(task.step as usize);
-        if before.ended() || step.is_some_and(|step| step.perpetual) {
+        if before.is_final() || step.is_some_and(|step| step.perpetual) {
             return;
         }
-        entry.progress.finish(&entry.job, task);
-        let ended = entry.progress.state.ended();
+        entry.progress.mark_done(&entry.job, task);
+        let ended = entry.progress.state.is_final();
         // A speculative copy of a finished task is no longer needed.
         let other = entry.runs.contains_key(&task_key(task));
         let gang = step_is_gang(entry.job.steps.get(task.step as usize));
@@ -378,10 +379,10 @@
         self.record_failure(name, task, now);
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let perpetual = entry.step(task_key(task)).is_some_and(|step| step.perpetual);
-        if entry.progress.state.ended() || perpetual {
+        if entry.progress.state.is_final() || perpetual {
             return;
         }
-        let failures = entry.progress.fail(&entry.job, task, run);
+        let failures = entry.progress.record_failure(&entry.job, task, run);
         let last = failures >= entry.job.queue.attempts;
         self.mark_dirty(&task.job, last);
         if last {
@@ -392,7 +393,7 @@
     /// Closes an ended job once none of its runs is left and its end is recorded.
     fn close_if_finished(&mut self, id: &str) {
         let finished =
-            |entry: &crate::entry::Entry| entry.progress.state.ended() && entry.runs.is_empty();
+            |entry: &crate::entry::Entry| entry.progress.state.is_final() && entry.runs.is_empty();
         if self.jobs.get(id).is_some_and(finished)
             && !self.dirty.contains(id)
             && !self.record_in_flight
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use quincewheel_job::{Incarnation, Run, State, Step, Task};
-use quincewheel_policy::{APART, CRASHES};
+use quincewheel_policy::{CRASH_LIMIT, START_ISOLATION_MS};
 use quincewheel_wire::list_starts;
 
 use crate::candidate::Candidate;
@@ -39,13 +39,13 @@
     ) {
         self.log("worker broke", name, format!("{worker} just after {}", list_starts(&starts)));
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let current = agent.worker.as_ref().filter(|known| known.is(&worker));
+        let current = agent.worker.as_ref().filter(|known| known.is_incarnation(&worker));
         if current.is_some_and(|worker| worker.draining) || agent.shutdown_requested {
             return;
         }
-        let later = current.is_none() && agent.worker.is_some();
+        let restarted = current.is_none() && agent.worker.is_some();
         agent.crash = Some(SuspectedCrash { worker, starts });
-        if later {
+        if restarted {
             self.attribute_crash(name);
         }
     }
@@ -95,7 +95,7 @@
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         // A finished task never starts again, so it could never be cleared, and others would
         // wait for it forever.
-        if entry.progress.state.ended() || entry.progress.done(task) {
+        if entry.progress.state.is_final() || entry.progress.is_done(task) {
             return;
         }
         // A task that has outlived a start is not the cause. But a delayed list may have shown
@@ -103,8 +103,8 @@
         if among > 1 && entry.survived_start.contains(&entry.slot(task_key(task))) {
             return;
         }
-        let before = entry.progress.crashes(&entry.job, task);
-        let crashes = entry.progress.crash(&entry.job, task, run);
+        let before = entry.progress.crash_count(&entry.job, task);
+        let crashes = entry.progress.record_crash(&entry.job, task, run);
         if crashes == before {
             return;
         }
@@ -112,11 +112,11 @@
         entry.crash_unrecorded = true;
         entry.reservations.remove(&(task.occurrence, task.step));
         let detail = format!(
-            "{task} run {run} at {name}, one of {among} just started there: {crashes} of {CRASHES}"
+            "{task} run {run} at {name}, one of {among} just started there: {crashes} of {CRASH_LIMIT}"
         );
         self.log("crash suspected", &task.job, detail);
         self.mark_dirty(&task.job, true);
-        if crashes >= CRASHES {
+        if crashes >= CRASH_LIMIT {
             self.end_job(&task.job, State::Failed, self.now);
         }
     }
@@ -152,7 +152,7 @@
             // An agent's clock starts from zero when its machine reboots.
             let first = placed.first_listed_at.map_or(stamp, |first| first.min(stamp));
             placed.first_listed_at = Some(first);
-            placed.survived_start = stamp >= first + APART;
+            placed.survived_start = stamp >= first + START_ISOLATION_MS;
             if placed.survived_start && entry.gang_survived_start(task_key(&run.task)) {
                 self.on_start_outlived(&run.task);
             }
@@ -173,7 +173,7 @@
         if entry.consecutive_crashes(&task.job, task_key(task)) == 0 {
             return;
         }
-        entry.progress.clear(&entry.job, task);
+        entry.progress.clear_crashes(&entry.job, task);
         self.replan = true;
         self.log("crash cleared", &task.job, format!("{task}: {why}"));
         self.mark_dirty(&task.job, false);
@@ -213,7 +213,7 @@
     }
 }
 
-/// The kind of the most recent start at a worker, if it is recent.
+/// What was recently started at a worker.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum RecentStart {
     /// Only tasks that are not suspected.
@@ -237,7 +237,7 @@
         placed: &Placement,
         now: u64,
     ) -> Option<RecentStart> {
-        if placed.survived_start || now >= placed.confirmed_at.unwrap_or(now) + APART {
+        if placed.survived_start || now >= placed.confirmed_at.unwrap_or(now) + START_ISOLATION_MS {
             return None;
         }
         Some(if entry.consecutive_crashes(id, key) > 0 {
@@ -261,13 +261,13 @@
     tasks: Vec<u32>,
     now: u64,
 ) -> Vec<(Vec<u32>, bool)> {
-    if !entry.progress.suspected() {
+    if !entry.progress.has_suspects() {
         return vec![(tasks, false)];
     }
     let slot = |index: u32| entry.slot((occurrence, step, index));
-    let open = |slot: &Key| !entry.exonerated.contains(slot);
+    let unexplained = |slot: &Key| !entry.exonerated.contains(slot);
     let in_progress = |(key, placed): (&Key, &Placement)| {
-        open(&entry.slot(*key))
+        unexplained(&entry.slot(*key))
             && RecentStart::of(id, entry, *key, placed, now) == Some(RecentStart::Suspect)
     };
     if entry.crash_unrecorded || entry.runs.iter().any(in_progress) {
@@ -278,7 +278,7 @@
     let gang = entry.job.steps.get(step as usize).is_some_and(|step| step.gang);
     let mut groups = match gang && !suspects.is_empty() {
         true => vec![(suspects, true)],
-        false => separately(suspects, |index| open(&slot(index))),
+        false => separately(suspects, |index| unexplained(&slot(index))),
     };
     if !others.is_empty() && !waits_for_suspect(entry, (occurrence, step), now) {
         groups.push((others, false));
@@ -288,19 +288,20 @@
 
 /// Suspects that may be retried now, each as a group of its own: the first that is not exonerated,
 /// and all that are.
-fn separately(suspects: Vec<u32>, open: impl Fn(u32) -> bool) -> Vec<(Vec<u32>, bool)> {
-    let first = suspects.iter().copied().find(|index| open(*index));
-    let retried = suspects.into_iter().filter(|index| first == Some(*index) || !open(*index));
+fn separately(suspects: Vec<u32>, unexplained: impl Fn(u32) -> bool) -> Vec<(Vec<u32>, bool)> {
+    let first = suspects.iter().copied().find(|index| unexplained(*index));
+    let retried =
+        suspects.into_iter().filter(|index| first == Some(*index) || !unexplained(*index));
     retried.map(|index| (vec![index], true)).collect()
 }
 
 /// True if tasks of the step must wait for a suspect of their job that has not been retried.
 fn waits_for_suspect(entry: &Entry, step: (u32, u32), now: u64) -> bool {
-    let runs = |slot: &Key| entry.runs.keys().any(|key| entry.slot(*key) == *slot);
-    let waiting = |slot: &Key| !entry.exonerated.contains(slot) && !runs(slot);
+    let is_running = |slot: &Key| entry.runs.keys().any(|key| entry.slot(*key) == *slot);
+    let waiting = |slot: &Key| !entry.exonerated.contains(slot) && !is_running(slot);
     let within_delay = entry.idle_since.is_none_or(|since| now < since + OTHER_STEPS_DELAY_MS);
     let blocks = |slot: Key| within_delay || (slot.0, slot.1) == step;
-    entry.progress.suspects().filter(waiting).any(blocks)
+    entry.progress.suspected_tasks().filter(waiting).any(blocks)
 }
 
 /// Longest time that other steps of an idle job wait until a suspect finds a place. Without a
--- a/crates/dispatch/tests/waits.rs
+++ b/crates/dispatch/tests/waits.rs
@@ -6,7 +6,7 @@
 
 use harness::{Harness, end, job, run, step, task};
 use insta::assert_snapshot;
-use quincewheel_job::{Advice, Config, How, Job, Need, Step, Team};
+use quincewheel_job::{Advice, Config, How, Job, Resources, Step, Team};
 use quincewheel_wire::Notice;
 
 /// Creates an owner with idle workers that collects the log lines about waiting steps.
@@ -104,7 +104,7 @@
 #[test]
 fn workers_kept_free_for_urgent_work_are_logged() {
     let mut harness = idle_owner(6);
-    let need = Need { cpu: 60_000, memory: 250_000, accelerators: 8 };
+    let need = Resources { cpu: 60_000, memory: 250_000, accelerators: 8 };
     let mut relaxed = job(1, vec![Step { estimate: 9000, need, ..step(1, 8) }]);
     relaxed.queue.stretch = 3.0;
     for number in 0..6 {
--- a/crates/entry/src/site/calls.rs
+++ b/crates/entry/src/site/calls.rs
@@ -38,7 +38,7 @@
     let ms = quincewheel_clock::boot() - started_at;
     let method = call.protocol.method();
     shared.metrics.count_call(method, &answer, ms);
-    if !answer.served() {
+    if !answer.is_success() {
         let id = executed.as_ref().and_then(Call::id).unwrap_or_default();
         let age = started_at.saturating_sub(shared.config_confirmed_at.get());
         let version = shared.config.borrow().as_ref().map_or(0, |config| config.version);
@@ -95,7 +95,7 @@
     let config = shared.config.borrow();
     let Some(config) = config.as_ref() else { return Err(unavailable(shared)) };
     let target = call.protocol.target(config, &call.body)?;
-    if target.keyed && !shared.is_config_current(quincewheel_clock::boot()) {
+    if target.requires_key && !shared.is_config_current(quincewheel_clock::boot()) {
         return Err(unavailable(shared));
     }
     match &call.body {
@@ -229,7 +229,7 @@
 
 /// Logs that a job was stored within `ms` milliseconds, and passes it on.
 fn on_stored(shared: &Site, id: &str, job: Job, stored: Stored, ms: u64) {
-    let (queue, team, chain) = (job.queue.name.as_str(), job.team.as_str(), job.chain());
+    let (queue, team, chain) = (job.queue.name.as_str(), job.team.as_str(), job.critical_path());
     let version = match stored {
         Stored::Local(version) | Stored::Forwarded(Some(version)) => version,
         Stored::Forwarded(None) => 0,
@@ -262,7 +262,7 @@
     if view.as_ref().is_some_and(|view| view.job.is_some()) && !known {
         return Answer::Unknown;
     }
-    if view.as_ref().is_some_and(|view| view.state().ended()) {
+    if view.as_ref().is_some_and(|view| view.state().is_final()) {
         return if known { Answer::Cancelled } else { Answer::Unknown };
     }
     let mut result = commit_if_reachable(shared, &forward::cancellation_commit(id)).await;
--- a/crates/entry/src/site/evacuation.rs
+++ b/crates/entry/src/site/evacuation.rs
@@ -14,10 +14,10 @@
     if known.as_ref() == Some(&zones) {
         return;
     }
-    for zone in zones.beyond(&previous) {
+    for zone in zones.difference(&previous) {
         log::info!(event = "evacuation", zone = zone; "operators started the evacuation");
     }
-    for zone in previous.beyond(&zones) {
+    for zone in previous.difference(&zones) {
         log::info!(event = "evacuation", zone = zone; "operators ended the evacuation");
     }
     *shared.evacuation.borrow_mut() = Some(zones);
--- a/crates/entry/src/site/forward.rs
+++ b/crates/entry/src/site/forward.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 use super::calls::{commit_once, read_job};
-use super::handover::first_served;
+use super::handover::first_reachable;
 use super::job_events;
 use super::ownership::put;
 use super::queries::query;
@@ -52,9 +52,7 @@
     id: &str,
     request: impl FnOnce(u64) -> Peer,
 ) -> Verdict {
-    let Some(link) = first_served(shared, peers(shared)).await else {
-        return Verdict::Refused;
-    };
+    let Some(link) = first_reachable(shared, peers(shared)).await else { return Verdict::Refused };
     let Some(reply) = query(shared, link, request) else { return Verdict::Refused };
     match timeout(REPLY_TIMEOUT, reply).await {
         Ok(Ok(Peer::Stored { verdict, .. })) if verdict != Verdict::Unclear => verdict,
--- a/crates/entry/src/site/handover.rs
+++ b/crates/entry/src/site/handover.rs
@@ -46,7 +46,7 @@
     if is_table_reachable(shared).await {
         return false;
     }
-    let Some(link) = first_served(shared, successors(shared)).await else { return false };
+    let Some(link) = first_reachable(shared, successors(shared)).await else { return false };
     let Some((mine, version)) = shared.ownership.borrow().clone() else { return false };
     let commit = vacating_commit(mine, version);
     let value = commit.put.into_iter().map(|row| row.value).collect();
@@ -134,7 +134,7 @@
 
 /// Returns the first of these entries that the table answers. All are probed concurrently: probing
 /// one after the other would multiply a client's waiting time if the table answers none of them.
-pub(crate) async fn first_served(shared: &Site, links: Vec<LinkId>) -> Option<LinkId> {
+pub(crate) async fn first_reachable(shared: &Site, links: Vec<LinkId>) -> Option<LinkId> {
     let mut probes = Vec::new();
     for link in links.into_iter().take(MAX_PROBED_ENTRIES) {
         let Some(reply) = query(shared, link, |number| Peer::Reach { number }) else { continue };
--- a/crates/entry/src/site/job_state.rs
+++ b/crates/entry/src/site/job_state.rs
@@ -27,7 +27,8 @@
 
 /// Updates this entry's view of a job, within the time that recording an end takes.
 pub(crate) async fn refresh(shared: &Site, id: &str) {
-    let unfinished = shared.mirror.borrow().jobs.get(id).is_some_and(|view| !view.state().ended());
+    let unfinished =
+        shared.mirror.borrow().jobs.get(id).is_some_and(|view| !view.state().is_final());
     if !unfinished {
         return;
     }
@@ -66,7 +67,7 @@
     let recording = || {
         let owner = shared.owner.borrow();
         let ended = owner.as_ref().is_some_and(|owner| owner.has_ended(id));
-        ended && shared.mirror.borrow().jobs.get(id).is_some_and(|view| !view.state().ended())
+        ended && shared.mirror.borrow().jobs.get(id).is_some_and(|view| !view.state().is_final())
     };
     let deadline = Instant::now() + RECORDING_TIMEOUT;
     while recording() && Instant::now() < deadline {
