--- a/crates/entry/src/burn.rs
+++ b/crates/entry/src/burn.rs
@@ -5,20 +5,19 @@
 
 /// Counts good and bad events against the service-level objectives.
 ///
-/// Counts lie in buckets of one minute over one hour, so that those of several
-/// entries can be added up. An error budget burns at rate 1 when exactly the
-/// allowed share of events is bad.
+/// Counts are kept in buckets of one minute for one hour, so that those of several entries can be
+/// added. An error budget burns at rate 1 when exactly the allowed share of events is bad.
 #[derive(Debug, Default)]
 pub struct Burn {
     rows: BTreeMap<(String, Objective), Row>,
 }
 
-/// What is promised.
+/// A service-level objective.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Objective {
-    /// An answer came before the deadline.
+    /// The answer was sent before the deadline.
     Answered,
-    /// The outcome was not `unknown`.
+    /// The outcome is not `unknown`.
     OutcomeKnown,
     /// The job was not refused as not run.
     Accepted,
@@ -26,16 +25,16 @@
 
 #[derive(Debug, Default)]
 struct Row {
-    /// Minute to good and bad events.
+    /// Good and bad events by minute.
     buckets: BTreeMap<u64, (u64, u64)>,
     good: u64,
     bad: u64,
 }
 
-const LONG: u64 = 60;
-const SHORT: u64 = 5;
-/// Burning a month's budget in two days; both windows must agree.
-const ALERT: f64 = 14.4;
+const LONG_WINDOW_MINUTES: u64 = 60;
+const SHORT_WINDOW_MINUTES: u64 = 5;
+/// Burn rate that alerts when both windows exceed it. It uses up a month's budget in two days.
+const ALERT_BURN_RATE: f64 = 14.4;
 
 impl Objective {
     fn name(self) -> &'static str {
@@ -69,10 +68,10 @@
             bucket.1 += 1;
             row.bad += 1;
         }
-        row.buckets.retain(|at, _| at + LONG > minute);
+        row.buckets.retain(|at, _| at + LONG_WINDOW_MINUTES > minute);
     }
 
-    /// The report at `now`.
+    /// Returns the report at `now`, a row for each team and objective.
     pub fn report(&self, now: Duration) -> Vec<BurnView> {
         let minute = now.as_secs() / 60;
         let view = |((team, objective), row): (&(String, Objective), &Row)| {
@@ -84,7 +83,7 @@
                 let all = good + bad;
                 if all == 0 { 0.0 } else { bad as f64 / all as f64 / budget }
             };
-            let (short, long) = (rate(SHORT), rate(LONG));
+            let (short, long) = (rate(SHORT_WINDOW_MINUTES), rate(LONG_WINDOW_MINUTES));
             BurnView {
                 team: team.clone(),
                 objective: objective.name().to_owned(),
@@ -93,7 +92,7 @@
                 bad: row.bad,
                 burn_short: short,
                 burn_long: long,
-                alert: short >= ALERT && long >= ALERT,
+                alert: short >= ALERT_BURN_RATE && long >= ALERT_BURN_RATE,
             }
         };
         self.rows.iter().map(view).collect()
--- a/crates/entry/src/burn_report.rs
+++ b/crates/entry/src/burn_report.rs
@@ -5,7 +5,7 @@
 
 use quincewheel_schema::v1::BurnReply;
 
-/// Asks the entry at `rpc` for its report and prints it.
+/// Fetches the report of the entry at `rpc` and prints it.
 pub(crate) fn print(rpc: &str, key: &str) -> ExitCode {
     let runtime = actix_rt::Runtime::new().expect("a runtime needs only memory");
     match runtime.block_on(fetch(rpc, key)) {
--- a/crates/entry/src/connect.rs
+++ b/crates/entry/src/connect.rs
@@ -1,5 +1,4 @@
-//! The unary convention of the Connect protocol: content types, codes and the
-//! JSON body of errors.
+//! Unary calls of the Connect protocol: content types, error codes and the JSON body of errors.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -10,14 +9,14 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// How a message is written.
+/// Encoding of a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Codec {
     Json,
     Proto,
 }
 
-/// An error as the caller sees it.
+/// An error as the caller receives it.
 #[derive(Clone, Debug)]
 pub(crate) struct Fault {
     pub code: Code,
@@ -25,7 +24,7 @@
     pub detail: ErrorDetail,
 }
 
-/// Connect's codes, as far as they are used.
+/// The codes of Connect that are used.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Code {
     InvalidArgument,
@@ -37,7 +36,7 @@
     PermissionDenied,
     Unavailable,
     Unimplemented,
-    /// Not a Connect code: the content type is none that this server speaks.
+    /// Not a Connect code: the content type is not supported.
     MediaType,
 }
 
@@ -72,7 +71,7 @@
 }
 
 impl Codec {
-    /// The codec that a content type names.
+    /// Returns the codec for a content type.
     pub fn of(content_type: &str) -> Option<Codec> {
         match content_type.split(';').next().unwrap_or_default().trim() {
             "application/json" => Some(Codec::Json),
@@ -81,7 +80,7 @@
         }
     }
 
-    /// Reads a message. The error names the field that is wrong.
+    /// Decodes a message. The error names the invalid field.
     pub fn decode<T: Message + Default + DeserializeOwned>(self, body: &[u8]) -> Result<T, Fault> {
         let message = match self {
             Codec::Json => serde_json::from_slice(body).map_err(|error| error.to_string()),
@@ -90,7 +89,7 @@
         message.map_err(|error| Fault::invalid(&field_in(&error), &error))
     }
 
-    /// Writes a message as a successful reply.
+    /// Encodes a message as a successful reply.
     pub fn reply<T: Message + Serialize>(self, message: &T) -> Reply {
         match self {
             Codec::Json => {
@@ -109,7 +108,7 @@
         Fault { code, message: message.to_owned(), detail: ErrorDetail::default() }
     }
 
-    /// A field of the request is wrong.
+    /// Returns an error for an invalid field of the request.
     pub fn invalid(field: &str, message: &str) -> Fault {
         let mut fault = Fault::new(Code::InvalidArgument, message);
         fault.detail.field = field.to_owned();
@@ -121,7 +120,7 @@
         self
     }
 
-    /// The error's reply. Always JSON, whatever the request's codec.
+    /// Encodes the error as a reply, which is JSON for every codec.
     pub fn reply(&self) -> Reply {
         let value = STANDARD_NO_PAD.encode(self.detail.encode_to_vec());
         let body = serde_json::json!({
@@ -145,8 +144,7 @@
     }
 }
 
-/// The field that a decoder's message names, in back-quotes as in "unknown
-/// field `x`" or before a colon as in "Message.field: ...".
+/// Extracts the field that a decoder's message quotes, as in "unknown field `x`".
 fn field_in(error: &str) -> String {
     let quoted = error.split('`').nth(1).map(str::to_owned);
     quoted.unwrap_or_default()
--- a/crates/entry/src/convert.rs
+++ b/crates/entry/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between the generated types at the border and the product's own.
+//! Conversion between the generated RPC types and the types of the scheduler.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 pub(crate) const MAX_PAYLOAD: usize = 65_536;
 /// Longest deadline, in milliseconds: seven days.
 const MAX_DEADLINE: u64 = 604_800_000;
-/// Most guaranteed shapes in one call.
+/// Maximum number of guaranteed shapes in one call.
 const MAX_SHARES: usize = 64;
 /// Longest team name and request id, in characters.
 const MAX_ID: usize = 128;
@@ -28,7 +28,7 @@
         let text = format!("{} bytes; at most {MAX_PAYLOAD} are taken", request.payload.len());
         return Err(Fault::invalid("payload", &text));
     }
-    // How the caller waits and whether it tried before may differ between tries.
+    // The digest leaves out fields that may differ between retries of the same job.
     let body =
         v1::SubmitRequest { deadline_ms: 0, wait: false, first_try: false, ..request.clone() };
     Ok(Ask::Submit(Job {
@@ -153,7 +153,7 @@
     Ok(shape_from_row(shape))
 }
 
-/// The reply about a job.
+/// Converts the outcome of a job.
 pub(crate) fn job_reply(
     team: &str,
     request: &str,
@@ -195,7 +195,7 @@
     reply
 }
 
-/// The reply about the pool.
+/// Converts the state of the pool.
 pub(crate) fn pool_reply(answer: Answer) -> v1::PoolReply {
     let Answer::Pool { epoch, owner, store, workers, teams } = answer else {
         return v1::PoolReply::default();
@@ -232,7 +232,7 @@
     }
 }
 
-/// The reply about the configuration in force.
+/// Converts the configuration in effect.
 pub(crate) fn configuration_reply(answer: Answer) -> v1::ConfigurationReply {
     let Answer::Configuration { recorded, processes } = answer else {
         return v1::ConfigurationReply::default();
@@ -246,7 +246,7 @@
     v1::ConfigurationReply { configuration: recorded, processes }
 }
 
-/// A refusal as the caller sees it.
+/// Converts a refusal into an error.
 pub(crate) fn fault(refusal: Refusal) -> Fault {
     match refusal {
         Refusal::Invalid { field, message } => Fault::invalid(&field, &message),
--- a/crates/entry/src/day.rs
+++ b/crates/entry/src/day.rs
@@ -1,4 +1,5 @@
-//! Sums the logs of a time up: which jobs were late or lost, and where their time went.
+//! Summarises the logs of a period: which jobs were late or lost, and what their time was spent
+//! on.
 
 mod account;
 mod phase;
@@ -15,11 +16,12 @@
 use self::zones::Zones;
 use crate::line::Line;
 
-/// Reads the log lines of all processes, in any order, and writes a table of queues, one of
-/// the jobs that were late, failed or did not end, one of the work that was thrown away, and
-/// one of the availability zones that were evacuated.
-/// Times count from `zero`, in seconds since 1970, or from the first job. Returns how many
-/// jobs there are.
+/// Reads the log lines of all processes, in any order, and writes a table of queues, one of the
+/// jobs that were late, failed or did not end, one of the work that was lost, and one of the
+/// availability zones that were evacuated.
+///
+/// Times count from `zero`, in seconds since 1970, or from the first job. Returns the number of
+/// jobs.
 pub fn sum_up(
     zero: Option<f64>,
     logs: impl BufRead,
@@ -27,7 +29,7 @@
 ) -> std::io::Result<usize> {
     let mut lines = Vec::new();
     for text in logs.lines() {
-        let line = Line::read(&text?);
+        let line = Line::parse(&text?);
         lines.extend(line.and_then(|line| line.time().map(|time| (time, line))));
     }
     lines.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -35,19 +37,19 @@
     let mut zones = Zones::default();
     for (time, line) in &lines {
         match line.text("event") {
-            // A new owner knows all that was accepted before.
-            "owner" => jobs.values_mut().for_each(|job| job.owned(*time)),
-            "zone evacuated" | "zone empty" | "evacuation over" => zones.take(*time, line),
+            // A new owner loads all jobs accepted before.
+            "owner" => jobs.values_mut().for_each(|job| job.on_takeover(*time)),
+            "zone evacuated" | "zone empty" | "evacuation over" => zones.add_line(*time, line),
             _ if line.text("job").is_empty() => {}
-            _ => jobs.entry(line.text("job").to_owned()).or_default().take(*time, line),
+            _ => jobs.entry(line.text("job").to_owned()).or_default().add_line(*time, line),
         }
     }
-    jobs.retain(|_, job| job.asked.is_some());
-    let first = jobs.values().filter_map(|job| job.asked).min_by(f64::total_cmp);
+    jobs.retain(|_, job| job.submitted_at.is_some());
+    let first = jobs.values().filter_map(|job| job.submitted_at).min_by(f64::total_cmp);
     let zero = zero.or(first).unwrap_or_default();
-    Table::open(zero, &jobs).write(&mut out)?;
+    Table::new(zero, &jobs).write(&mut out)?;
     writeln!(out)?;
-    Waste::open(&jobs).write(&mut out)?;
+    Waste::new(&jobs).write(&mut out)?;
     zones.write(zero, &mut out)?;
     Ok(jobs.len())
 }
--- a/crates/entry/src/day/account.rs
+++ b/crates/entry/src/day/account.rs
@@ -1,39 +1,39 @@
 use std::collections::BTreeMap;
 
 use super::phase::Phase;
-use super::waste::Lost;
+use super::waste::LostRun;
 use crate::line::Line;
 
-/// What the lines tell of one job.
+/// History of one job, from the log lines about it.
 #[derive(Debug, Default)]
 pub(crate) struct Account {
-    /// When an entry first had its submission.
-    pub asked: Option<f64>,
+    /// When an entry first received its submission.
+    pub submitted_at: Option<f64>,
     /// When it was accepted.
-    pub accepted: Option<f64>,
-    /// Its queue.
+    pub accepted_at: Option<f64>,
+    /// Name of its queue.
     pub queue: String,
-    /// Its steps in short.
+    /// Its steps in short form, as logged.
     pub shape: String,
-    /// When an owner first knew it.
-    known: Option<f64>,
-    /// When it ended, and how.
+    /// When an owner first had it.
+    known_at: Option<f64>,
+    /// When it ended, and its final state.
     ended: Option<(f64, String)>,
-    /// Its objective in milliseconds; none if it has none, or was not told.
+    /// Its objective in milliseconds; `None` if it has none or it was not logged.
     objective: Option<u64>,
-    /// It runs at set times, which count one by one.
+    /// True if it runs on a schedule, for which each occurrence has an objective of its own.
     scheduled: bool,
     /// Milliseconds that its steps waited, by step and cause.
     waits: BTreeMap<String, BTreeMap<String, u64>>,
-    /// Milliseconds of each task, by phase.
+    /// Milliseconds that each task spent, by phase.
     tasks: BTreeMap<String, BTreeMap<Phase, u64>>,
-    /// Orders whose end has not been told, by task and run, and when they were given.
-    open: BTreeMap<(String, String), f64>,
+    /// Runs whose end has not been logged, by task and run, with the time of their start order.
+    open_runs: BTreeMap<(String, String), f64>,
     /// Its runs that were not the last of their tasks.
-    pub lost: Vec<Lost>,
+    pub lost_runs: Vec<LostRun>,
 }
 
-/// How a job fared.
+/// Result of a job.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Fate {
     InTime,
@@ -46,40 +46,42 @@
 }
 
 impl Account {
-    /// An owner took over.
-    pub fn owned(&mut self, time: f64) {
-        if self.accepted.is_some() {
-            self.known.get_or_insert(time);
+    /// Records that an owner took over.
+    pub fn on_takeover(&mut self, time: f64) {
+        if self.accepted_at.is_some() {
+            self.known_at.get_or_insert(time);
         }
     }
 
-    /// Takes a line in.
-    pub fn take(&mut self, time: f64, line: &Line) {
+    /// Adds a line.
+    pub fn add_line(&mut self, time: f64, line: &Line) {
         let text = line.text("msg");
         match line.text("event") {
             "accepted" => {
-                self.ask(time, line);
-                self.accepted.get_or_insert(time);
+                self.add_submission(time, line);
+                self.accepted_at.get_or_insert(time);
                 self.queue = line.text("queue").to_owned();
-                // What follows the words "version N".
+                // The short form follows the words "version N".
                 self.shape = text.splitn(3, ' ').nth(2).unwrap_or_default().to_owned();
             }
-            "refused" if line.text("method") == "POST" => self.ask(time, line),
+            "refused" if line.text("method") == "POST" => self.add_submission(time, line),
             "known" => {
-                self.known.get_or_insert(time);
+                self.known_at.get_or_insert(time);
             }
-            "waited" => self.waited(text),
-            "start" => self.start(time, text),
-            "run ended" => self.run_ended(time, text),
-            "run lost" | "run lapsed" | "run missing" => self.all_lost(time, line.text("event")),
-            "job ended" => self.end(time, text),
+            "waited" => self.add_waits(text),
+            "start" => self.start_run(time, text),
+            "run ended" => self.end_run(time, text),
+            "run lost" | "run lapsed" | "run missing" => {
+                self.mark_open_runs_lost(time, line.text("event"))
+            }
+            "job ended" => self.end_job(time, text),
             _ => {}
         }
     }
 
-    /// How it fared, as far as the lines tell.
+    /// The result of the job according to the lines.
     pub fn fate(&self) -> Fate {
-        if self.accepted.is_none() && self.known.is_none() {
+        if self.accepted_at.is_none() && self.known_at.is_none() {
             return Fate::Unaccepted;
         }
         let Some((_, how)) = &self.ended else { return Fate::Open };
@@ -87,31 +89,31 @@
             ("Cancelled", _) => Fate::Cancelled,
             ("Failed", _) => Fate::Failed,
             (_, true) => Fate::Scheduled,
-            _ if self.late() > 0 => Fate::Late,
+            _ if self.lateness_ms() > 0 => Fate::Late,
             _ => Fate::InTime,
         }
     }
 
     /// Milliseconds from its first submission to its end.
-    pub fn took(&self) -> Option<u64> {
+    pub fn duration_ms(&self) -> Option<u64> {
         let (end, _) = self.ended.as_ref()?;
-        Some(ms(end - self.asked?))
+        Some(ms(end - self.submitted_at?))
     }
 
-    /// Milliseconds beyond its objective.
-    pub fn late(&self) -> u64 {
-        let took = self.took().unwrap_or_default();
+    /// Milliseconds by which it exceeded its objective.
+    pub fn lateness_ms(&self) -> u64 {
+        let took = self.duration_ms().unwrap_or_default();
         self.objective.map_or(0, |objective| took.saturating_sub(objective))
     }
 
-    /// Where the time went, for the task of each step that it was longest for. Tasks
-    /// run side by side, and so do some steps: it is an account of the slowest ones.
+    /// What its time was spent on, for the slowest task of each step. Tasks run concurrently, and
+    /// some steps as well, so the phases of the faster ones are left out.
     pub fn phases(&self) -> BTreeMap<Phase, u64> {
         let mut sums: BTreeMap<Phase, u64> = BTreeMap::new();
-        if let (Some(asked), Some(accepted)) = (self.asked, self.accepted) {
-            sums.insert(Phase::Accepting, ms(accepted - asked));
+        if let (Some(submitted), Some(accepted)) = (self.submitted_at, self.accepted_at) {
+            sums.insert(Phase::Accepting, ms(accepted - submitted));
         }
-        if let (Some(accepted), Some(known)) = (self.accepted, self.known) {
+        if let (Some(accepted), Some(known)) = (self.accepted_at, self.known_at) {
             sums.insert(Phase::ToOwner, ms(known - accepted));
         }
         for (cause, spent) in self.waits.values().flatten() {
@@ -132,14 +134,15 @@
         sums
     }
 
-    /// An entry has answered its submission after so many milliseconds.
-    fn ask(&mut self, time: f64, line: &Line) {
-        let begun = time - line.number("ms") as f64 / 1000.0;
-        self.asked = Some(self.asked.map_or(begun, |asked| asked.min(begun)));
+    /// Records when an entry received the submission: `ms` milliseconds before the line.
+    fn add_submission(&mut self, time: f64, line: &Line) {
+        let started_at = time - line.number("ms") as f64 / 1000.0;
+        self.submitted_at =
+            Some(self.submitted_at.map_or(started_at, |earliest| earliest.min(started_at)));
     }
 
-    /// `JOB.K.STEP: CAUSE N ms, CAUSE N ms`
-    fn waited(&mut self, text: &str) {
+    /// Parses `JOB.K.STEP: CAUSE N ms, CAUSE N ms`.
+    fn add_waits(&mut self, text: &str) {
         let Some((step, causes)) = text.split_once(": ") else { return };
         let sums = self.waits.entry(step.to_owned()).or_default();
         for part in causes.split(", ") {
@@ -150,44 +153,44 @@
         }
     }
 
-    /// `TASK run N at AGENT`
-    fn start(&mut self, time: f64, text: &str) {
+    /// Parses `TASK run N at AGENT`.
+    fn start_run(&mut self, time: f64, text: &str) {
         let words: Vec<&str> = text.split(' ').collect();
         let [task, "run", run, ..] = words[..] else { return };
-        self.known.get_or_insert(time);
-        // Of a run that went with its worker or its owner no end is told.
-        let former = self.open.extract_if(.., |(known, _), _| known == task);
-        for (_, begun) in former.collect::<Vec<_>>() {
-            self.add(task, Phase::Lost("gone".to_owned()), ms(time - begun));
-            self.lose(task, "gone", ms(time - begun), None);
+        self.known_at.get_or_insert(time);
+        // No end is logged for a run that was lost with its worker or its owner.
+        let previous = self.open_runs.extract_if(.., |(known, _), _| known == task);
+        for (_, started_at) in previous.collect::<Vec<_>>() {
+            self.add_time(task, Phase::Lost("gone".to_owned()), ms(time - started_at));
+            self.add_lost_run(task, "gone", ms(time - started_at), None);
         }
-        self.open.insert((task.to_owned(), run.to_owned()), time);
+        self.open_runs.insert((task.to_owned(), run.to_owned()), time);
     }
 
-    /// `TASK run N HOW at AGENT, started after N ms, ran N ms, for JOB`
-    fn run_ended(&mut self, time: f64, text: &str) {
+    /// Parses `TASK run N HOW at AGENT, started after N ms, ran N ms, for JOB`.
+    fn end_run(&mut self, time: f64, text: &str) {
         let words: Vec<&str> = text.split([' ', ',']).collect();
         let [task, "run", run, how, ..] = words[..] else { return };
-        let Some(begun) = self.open.remove(&(task.to_owned(), run.to_owned())) else { return };
-        let started = words.iter().position(|word| *word == "after");
-        let started = started.and_then(|at| words.get(at + 1)?.parse().ok()).unwrap_or(0);
-        let ran = ms(time - begun).saturating_sub(started);
-        self.add(task, Phase::Start, started);
+        let Some(start) = self.open_runs.remove(&(task.to_owned(), run.to_owned())) else { return };
+        let start_ms = words.iter().position(|word| *word == "after");
+        let start_ms = start_ms.and_then(|at| words.get(at + 1)?.parse().ok()).unwrap_or(0);
+        let ran_ms = ms(time - start).saturating_sub(start_ms);
+        self.add_time(task, Phase::Start, start_ms);
         if how == "Done" {
-            return self.add(task, Phase::Ran, ran);
+            return self.add_time(task, Phase::Ran, ran_ms);
         }
-        self.add(task, Phase::Lost(how.to_owned()), ran);
-        let to = text.rsplit_once(", for ").map(|(_, job)| job.to_owned());
-        self.lose(task, how, ran, to);
+        self.add_time(task, Phase::Lost(how.to_owned()), ran_ms);
+        let preempted_by = text.rsplit_once(", for ").map(|(_, job)| job.to_owned());
+        self.add_lost_run(task, how, ran_ms, preempted_by);
     }
 
-    fn lose(&mut self, task: &str, how: &str, ran: u64, to: Option<String>) {
+    fn add_lost_run(&mut self, task: &str, how: &str, ran_ms: u64, preempted_by: Option<String>) {
         let step = task.split('.').nth(2).and_then(|step| step.parse().ok()).unwrap_or(0);
-        self.lost.push(Lost { step, how: how.to_owned(), ran, to });
+        self.lost_runs.push(LostRun { step, how: how.to_owned(), ran_ms, preempted_by });
     }
 
-    /// Accelerators of each task of a step, and whether it saves its progress.
-    pub fn step(&self, number: usize) -> (u64, bool) {
+    /// Accelerators of each task of a step, and whether the step saves checkpoints.
+    pub fn step_shape(&self, number: usize) -> (u64, bool) {
         let words: Vec<&str> = self.shape.split(' ').collect();
         let accelerators = |word: &&str| word.split_once('x').and_then(|(_, n)| n.parse().ok());
         let begins = words.iter().enumerate().filter(|(_, word)| accelerators(word).is_some());
@@ -196,18 +199,18 @@
         (accelerators(word).unwrap_or(0), words[at..end].contains(&"saves"))
     }
 
-    /// The tasks whose runs are gone are not named alike in these lines: all that is
-    /// open is.
-    fn all_lost(&mut self, time: f64, event: &str) {
+    /// Closes all open runs as lost, since these lines name tasks in another form than the starts
+    /// do.
+    fn mark_open_runs_lost(&mut self, time: f64, event: &str) {
         let how = event.trim_start_matches("run ").to_owned();
-        for ((task, _), begun) in std::mem::take(&mut self.open) {
-            self.add(&task, Phase::Lost(how.clone()), ms(time - begun));
-            self.lose(&task, &how, ms(time - begun), None);
+        for ((task, _), started_at) in std::mem::take(&mut self.open_runs) {
+            self.add_time(&task, Phase::Lost(how.clone()), ms(time - started_at));
+            self.add_lost_run(&task, &how, ms(time - started_at), None);
         }
     }
 
-    /// `STATE, objective N ms` or `STATE, scheduled`
-    fn end(&mut self, time: f64, text: &str) {
+    /// Parses `STATE, objective N ms` or `STATE, scheduled`.
+    fn end_job(&mut self, time: f64, text: &str) {
         let (state, rest) = text.split_once(", ").unwrap_or((text, ""));
         self.ended.get_or_insert((time, state.to_owned()));
         self.scheduled = rest == "scheduled";
@@ -218,7 +221,7 @@
         }
     }
 
-    fn add(&mut self, task: &str, phase: Phase, spent: u64) {
+    fn add_time(&mut self, task: &str, phase: Phase, spent: u64) {
         *self.tasks.entry(task.to_owned()).or_default().entry(phase).or_default() += spent;
     }
 }
--- a/crates/entry/src/day/phase.rs
+++ b/crates/entry/src/day/phase.rs
@@ -1,22 +1,22 @@
-/// Where the time of a job went.
+/// What the time of a job was spent on.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum Phase {
-    /// From its first try at any entry until it was accepted.
+    /// From its first submission at any entry until it was accepted.
     Accepting,
-    /// From its acceptance until the owner knew it.
+    /// From its acceptance until the owner had it.
     ToOwner,
-    /// Its turn had come, and something kept it from starting.
+    /// The step was ready to start and waited, with the cause.
     Waited(String),
-    /// From an order to the worker's confirmation.
+    /// From the start order to the worker's confirmation.
     Start,
-    /// Runs whose work was not the job's end, by how they ended.
+    /// Runs whose work was lost, with the way they ended.
     Lost(String),
-    /// Runs that were done.
+    /// Runs that completed.
     Ran,
 }
 
 impl Phase {
-    /// Its words in the table.
+    /// Heading in the table.
     pub fn name(&self) -> String {
         match self {
             Phase::Accepting => "accepting".to_owned(),
--- a/crates/entry/src/day/table.rs
+++ b/crates/entry/src/day/table.rs
@@ -4,13 +4,13 @@
 use super::account::{Account, Fate};
 use super::phase::Phase;
 
-/// The jobs of a time, to be written as two tables.
+/// The jobs of a period, written as two tables.
 pub(crate) struct Table<'a> {
     zero: f64,
     jobs: Vec<(&'a str, &'a Account)>,
 }
 
-/// The fates that the first table counts, and their heads.
+/// Columns of the first table, with their headings.
 const FATES: [(Fate, &str); 7] = [
     (Fate::InTime, "in time"),
     (Fate::Late, "late"),
@@ -22,22 +22,24 @@
 ];
 
 impl<'a> Table<'a> {
-    /// The jobs in the order in which they were submitted.
-    pub fn open(zero: f64, jobs: &'a BTreeMap<String, Account>) -> Table<'a> {
+    /// Sorts the jobs by the time of their submission.
+    pub fn new(zero: f64, jobs: &'a BTreeMap<String, Account>) -> Table<'a> {
         let mut jobs: Vec<_> = jobs.iter().map(|(id, job)| (id.as_str(), job)).collect();
-        jobs.sort_by(|a, b| a.1.asked.unwrap_or(0.0).total_cmp(&b.1.asked.unwrap_or(0.0)));
+        jobs.sort_by(|a, b| {
+            a.1.submitted_at.unwrap_or(0.0).total_cmp(&b.1.submitted_at.unwrap_or(0.0))
+        });
         Table { zero, jobs }
     }
 
-    /// Writes both.
+    /// Writes both tables.
     pub fn write(&self, mut out: impl Write) -> io::Result<()> {
         self.write_queues(&mut out)?;
         writeln!(out)?;
         self.write_late(&mut out)
     }
 
-    /// How the jobs of each queue fared, and where the time of its late ones went, in
-    /// milliseconds a late job.
+    /// Writes how the jobs of each queue ended, and what the time of the late ones was spent on,
+    /// in milliseconds per late job.
     fn write_queues(&self, out: &mut impl Write) -> io::Result<()> {
         let heads: Vec<&str> = FATES.iter().map(|(_, head)| *head).collect();
         writeln!(out, "queue jobs: {}; late ones, ms each", heads.join(", "))?;
@@ -55,12 +57,18 @@
                 *sums.entry(phase).or_default() += spent;
             }
             sums.values_mut().for_each(|spent| *spent /= late.len().max(1) as u64);
-            writeln!(out, "{queue} {}: {}; {}", jobs.len(), counts.join(", "), told(&sums))?;
+            writeln!(
+                out,
+                "{queue} {}: {}; {}",
+                jobs.len(),
+                counts.join(", "),
+                format_phases(&sums)
+            )?;
         }
         Ok(())
     }
 
-    /// A line for each job that was late, failed, or did not end.
+    /// Writes a line for each job that was late, failed, or did not end.
     fn write_late(&self, out: &mut impl Write) -> io::Result<()> {
         writeln!(out, "asked at, job, queue, fate, took, late by: where its time went")?;
         for (id, job) in &self.jobs {
@@ -68,9 +76,9 @@
             if !matches!(fate, Fate::Late | Fate::Failed | Fate::Open | Fate::Unaccepted) {
                 continue;
             }
-            let at = job.asked.unwrap_or(self.zero) - self.zero;
-            let took = job.took().map_or("-".to_owned(), |took| took.to_string());
-            let (late, spent) = (job.late(), told(&job.phases()));
+            let at = job.submitted_at.unwrap_or(self.zero) - self.zero;
+            let took = job.duration_ms().map_or("-".to_owned(), |took| took.to_string());
+            let (late, spent) = (job.lateness_ms(), format_phases(&job.phases()));
             let (queue, shape) = (&job.queue, &job.shape);
             writeln!(
                 out,
@@ -81,7 +89,7 @@
     }
 }
 
-fn told(phases: &BTreeMap<Phase, u64>) -> String {
+fn format_phases(phases: &BTreeMap<Phase, u64>) -> String {
     let parts: Vec<String> =
         phases.iter().map(|(phase, spent)| format!("{} {spent}", phase.name())).collect();
     if parts.is_empty() { "-".to_owned() } else { parts.join(", ") }
--- a/crates/entry/src/day/waste.rs
+++ b/crates/entry/src/day/waste.rs
@@ -3,21 +3,21 @@
 
 use super::account::Account;
 
-/// A run that ended and was not its task's last: its work was thrown away, but for what a
-/// checkpoint saved.
+/// A run that was not the last of its task. Its work was lost, except for what a checkpoint saved.
 #[derive(Clone, Debug)]
-pub(crate) struct Lost {
-    /// Its step in the job.
+pub(crate) struct LostRun {
+    /// Index of its step in the job.
     pub step: usize,
     /// How it ended.
     pub how: String,
-    /// For how long it ran, in milliseconds.
-    pub ran: u64,
-    /// The job that its room was made for, if it was.
-    pub to: Option<String>,
+    /// How long it ran, in milliseconds.
+    pub ran_ms: u64,
+    /// The job that it was preempted for, if any.
+    pub preempted_by: Option<String>,
 }
 
-/// What was thrown away, by whose it was, how it ended, and for whose sake.
+/// Lost work by the queue that lost it, by how the runs ended, and by the queue that they were
+/// preempted for.
 pub(crate) struct Waste<'a> {
     rows: BTreeMap<(&'a str, &'a str, &'a str), Sum>,
 }
@@ -25,29 +25,31 @@
 #[derive(Default)]
 struct Sum {
     runs: u64,
-    /// Milliseconds that accelerators worked.
-    spent: u64,
-    /// Runs that had begun within [`FRESH`].
-    fresh: u64,
-    /// Runs of steps that do not save their progress.
+    /// Accelerator time, in milliseconds.
+    accelerator_ms: u64,
+    /// Runs that ended within [`RECENT_START_MS`] of their start.
+    recent: u64,
+    /// Runs of steps that do not save checkpoints.
     unsaved: u64,
 }
 
-/// A run that was given up so soon after its start, in milliseconds, had better not begun.
-const FRESH: u64 = 1000;
+/// A run that ended sooner after its start should not have been started.
+const RECENT_START_MS: u64 = 1000;
 
 impl<'a> Waste<'a> {
-    /// What the accounts of all jobs tell.
-    pub fn open(jobs: &'a BTreeMap<String, Account>) -> Waste<'a> {
+    /// Sums up the lost runs of all jobs.
+    pub fn new(jobs: &'a BTreeMap<String, Account>) -> Waste<'a> {
         let mut rows: BTreeMap<(&str, &str, &str), Sum> = BTreeMap::new();
-        for (job, lost) in jobs.values().flat_map(|job| job.lost.iter().map(move |l| (job, l))) {
-            let other = lost.to.as_ref().and_then(|to| jobs.get(to));
+        for (job, run) in
+            jobs.values().flat_map(|job| job.lost_runs.iter().map(move |run| (job, run)))
+        {
+            let other = run.preempted_by.as_ref().and_then(|to| jobs.get(to));
             let to = other.map_or("-", |other| other.queue.as_str());
-            let (accelerators, saves) = job.step(lost.step);
-            let sum = rows.entry((&job.queue, &lost.how, to)).or_default();
+            let (accelerators, saves) = job.step_shape(run.step);
+            let sum = rows.entry((&job.queue, &run.how, to)).or_default();
             sum.runs += 1;
-            sum.spent += lost.ran * accelerators;
-            sum.fresh += u64::from(lost.ran < FRESH);
+            sum.accelerator_ms += run.ran_ms * accelerators;
+            sum.recent += u64::from(run.ran_ms < RECENT_START_MS);
             sum.unsaved += u64::from(!saves);
         }
         Waste { rows }
@@ -57,8 +59,12 @@
     pub fn write(&self, out: &mut impl Write) -> io::Result<()> {
         writeln!(out, "thrown away, how, for: runs, accelerator-s, begun within 1 s, unsaved")?;
         for ((queue, how, to), sum) in &self.rows {
-            let Sum { runs, spent, fresh, unsaved } = sum;
-            writeln!(out, "{queue} {how} {to}: {runs}, {}, {fresh}, {unsaved}", spent / 1000)?;
+            let Sum { runs, accelerator_ms, recent, unsaved } = sum;
+            writeln!(
+                out,
+                "{queue} {how} {to}: {runs}, {}, {recent}, {unsaved}",
+                accelerator_ms / 1000
+            )?;
         }
         Ok(())
     }
--- a/crates/entry/src/brain.rs
+++ b/crates/entry/src/driver.rs
@@ -14,18 +14,18 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Work that callers bring.
-pub(crate) enum Work {
-    /// A call, and where its answer goes.
+/// A command for the node, from the threads that serve callers.
+pub(crate) enum Command {
+    /// A call, and the channel for its answer.
     Call { key_digest: String, ask: Ask, reply: oneshot::Sender<Answer> },
-    /// The process is to end.
+    /// Shuts the node down.
     Drain,
 }
 
-/// An answer of the table service.
-pub(crate) struct Stored(pub u64, pub Result<Reply, Error>);
+/// Result of a call to the table service, with the number of the call.
+pub(crate) struct StoreResult(pub u64, pub Result<Reply, Error>);
 
-/// What other threads may know of the node.
+/// State of the node that other threads read.
 #[derive(Debug, Default)]
 pub(crate) struct Status {
     pub ready: AtomicBool,
@@ -34,21 +34,21 @@
     pub pending: AtomicUsize,
 }
 
-/// The receiving ends of all rings into the brain, most pressing first: what
-/// keeps ownership must not wait behind callers.
+/// Receiving ends of the queues to the driver, in the order of their priority: results and frames
+/// that maintain the ownership must not wait behind calls.
 pub(crate) struct Inbox {
-    pub stored: ring::Receiver<Stored>,
-    pub peers: ring::Receiver<peer::Event<Frame>>,
-    pub work: ring::Receiver<Work>,
+    pub store_results: ring::Receiver<StoreResult>,
+    pub peer_events: ring::Receiver<peer::Event<Frame>>,
+    pub commands: ring::Receiver<Command>,
 }
 
-/// Time between looks at what has become due.
-const TICK: Duration = Duration::from_millis(50);
-/// Inputs taken before one decision is made.
-const ROUND: usize = 512;
+/// Interval at which the node's timers are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of inputs that are handled before the outputs are executed.
+const MAX_BATCH: usize = 512;
 
-/// The thread that runs the node.
-pub(crate) struct Brain {
+/// Runs the node on a thread of its own: feeds it with inputs and executes its outputs.
+pub(crate) struct Driver {
     node: Node,
     hub: Hub<Frame>,
     service: Service,
@@ -56,11 +56,11 @@
     replies: BTreeMap<u64, oneshot::Sender<Answer>>,
     next_call: u64,
     start: Instant,
-    /// Name under which events are written, if they are.
+    /// Name of the process in audit events; `None` if none are written.
     events: Option<String>,
 }
 
-impl Brain {
+impl Driver {
     pub fn spawn(
         node: Node,
         hub: Hub<Frame>,
@@ -69,7 +69,7 @@
         events: Option<String>,
         inbox: Inbox,
     ) -> io::Result<()> {
-        let start = move || Brain {
+        let start = move || Driver {
             node,
             hub,
             service,
@@ -87,32 +87,32 @@
     }
 
     async fn run(mut self, inbox: Inbox) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 biased;
-                Some(stored) = inbox.stored.recv() => self.stored(stored),
-                Some(event) = inbox.peers.recv() => self.peer(event),
+                Some(result) = inbox.store_results.recv() => self.on_store_result(result),
+                Some(event) = inbox.peer_events.recv() => self.on_peer_event(event),
                 _ = ticks.tick() => self.tick(),
-                Some(work) = inbox.work.recv() => self.work(work),
+                Some(command) = inbox.commands.recv() => self.on_command(command),
             }
-            for _ in 0..ROUND {
-                if let Some(stored) = inbox.stored.try_recv() {
-                    self.stored(stored);
-                } else if let Some(event) = inbox.peers.try_recv() {
-                    self.peer(event);
-                } else if let Some(work) = inbox.work.try_recv() {
-                    self.work(work);
+            for _ in 0..MAX_BATCH {
+                if let Some(result) = inbox.store_results.try_recv() {
+                    self.on_store_result(result);
+                } else if let Some(event) = inbox.peer_events.try_recv() {
+                    self.on_peer_event(event);
+                } else if let Some(command) = inbox.commands.try_recv() {
+                    self.on_command(command);
                 } else {
                     break;
                 }
             }
             let outputs = self.node.flush(self.now());
             for output in outputs {
-                self.carry_out(output);
+                self.execute(output);
             }
-            self.publish();
+            self.publish_status();
         }
     }
 
@@ -120,14 +120,14 @@
         self.start.elapsed()
     }
 
-    fn stored(&mut self, Stored(id, result): Stored) {
+    fn on_store_result(&mut self, StoreResult(id, result): StoreResult) {
         if let Err(error) = &result {
             log::warn!(step = "table"; "{error}");
         }
         self.node.handle(self.now(), Input::Store { id, result });
     }
 
-    fn peer(&mut self, event: peer::Event<Frame>) {
+    fn on_peer_event(&mut self, event: peer::Event<Frame>) {
         let input = match event {
             peer::Event::Linked { link, hello, dialled } => Input::Linked { link, hello, dialled },
             peer::Event::Unlinked { link } => Input::Unlinked { link },
@@ -140,32 +140,32 @@
         self.node.handle(self.now(), input);
     }
 
-    fn work(&mut self, work: Work) {
+    fn on_command(&mut self, command: Command) {
         let now = self.now();
-        match work {
-            Work::Call { key_digest, ask, reply } => {
+        match command {
+            Command::Call { key_digest, ask, reply } => {
                 let call = self.next_call;
                 self.next_call += 1;
                 self.replies.insert(call, reply);
                 self.node.handle(now, Input::Call { call, key_digest, ask });
             }
-            Work::Drain => self.node.handle(now, Input::Drain),
+            Command::Drain => self.node.handle(now, Input::Drain),
         }
     }
 
     fn tick(&mut self) {
         let now = self.now();
-        // A caller that is gone drops its end of the reply.
-        let gone: Vec<u64> =
+        // A caller that disconnects drops its end of the reply channel.
+        let disconnected: Vec<u64> =
             self.replies.iter().filter(|(_, reply)| reply.is_closed()).map(|(id, _)| *id).collect();
-        for call in gone {
+        for call in disconnected {
             self.replies.remove(&call);
             self.node.handle(now, Input::Hangup { call });
         }
         self.node.tick(now);
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Answer { call, answer } => {
                 if let Some(reply) = self.replies.remove(&call) {
@@ -174,7 +174,7 @@
             }
             Output::Send { link, frame } => {
                 if !self.hub.ask(peer::Command::Send { link, frame }) {
-                    self.overflow(link);
+                    self.close_overflowing(link);
                 }
             }
             Output::Dial { address } => {
@@ -199,12 +199,12 @@
         }
     }
 
-    /// The ring to the peers' thread is full. Frames of a connection must not
-    /// be lost in the middle, so the connection counts as gone.
-    fn overflow(&mut self, link: u64) {
-        log::warn!(step = "send", peer = link; "too many frames wait; connection given up");
+    /// Closes a connection whose frame did not fit into the hub's queue, since a connection must
+    /// not lose single frames.
+    fn close_overflowing(&mut self, link: u64) {
+        log::warn!(step = "send", peer = link; "send queue full; closing the connection");
         self.node.handle(self.now(), Input::Unlinked { link });
-        self.hub.ask(peer::Command::Close { link, reason: "too many frames wait" });
+        self.hub.ask(peer::Command::Close { link, reason: "send queue full" });
     }
 
     fn write_event(&self, kind: quincewheel_audit::Kind) {
@@ -216,7 +216,7 @@
         }
     }
 
-    fn publish(&self) {
+    fn publish_status(&self) {
         self.status.ready.store(self.node.ready(), Ordering::Relaxed);
         self.status.owner.store(self.node.owns(), Ordering::Relaxed);
         self.status.store_down.store(self.node.store_down(), Ordering::Relaxed);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,15 +1,15 @@
-//! The entry process: admits calls, and owns or forwards to the shard's owner.
+//! The entry process: accepts calls, and owns the deployment or forwards calls to the owner.
 //!
-//! Duties and their threads: `rpc` speaks HTTP with callers and operators,
-//! `brain` runs the [`quincewheel_shard::Node`], `peers` keeps connections to
-//! other processes, `store` calls the table service. Bounded rings join them.
+//! Threads: `rpc` serves HTTP to callers and operators, `brain` runs the
+//! [`quincewheel_shard::Node`], `peers` keeps connections to other processes, `store` calls the
+//! table service. They are connected by bounded queues.
 
-mod brain;
 mod burn;
 mod burn_report;
 mod connect;
 mod convert;
 mod day;
+mod driver;
 mod explain;
 mod line;
 mod metrics;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -11,10 +11,10 @@
 use prometheus_client::registry::{Registry, Unit};
 use quincewheel_peer::Traffic;
 
-use crate::brain::Status;
+use crate::driver::Status;
 
-/// What `/metrics` shows. Counters are kept here; gauges are read from the
-/// other threads' status when the page is asked for.
+/// Metrics of an entry, served at `/metrics`. Counters are kept here; gauges are read from the
+/// other threads' status for each request.
 pub(crate) struct Metrics {
     registry: Mutex<Registry>,
     calls: Family<Labels, Counter>,
@@ -43,7 +43,7 @@
 }
 
 impl Metrics {
-    pub fn open(status: Arc<Status>, traffic: Arc<Traffic>) -> Metrics {
+    pub fn new(status: Arc<Status>, traffic: Arc<Traffic>) -> Metrics {
         let mut registry = Registry::with_prefix("quincewheel");
         let calls = Family::<Labels, Counter>::default();
         registry.register("calls", "Calls by method and outcome", calls.clone());
@@ -74,7 +74,7 @@
         self.latency.observe(seconds);
     }
 
-    /// The page, in the OpenMetrics text format.
+    /// Encodes the metrics in the OpenMetrics text format.
     pub fn page(&self) -> String {
         let status = &self.status;
         self.gauges.owner.set(status.owner.load(Ordering::Relaxed).into());
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -11,23 +11,23 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::brain::{Status, Work};
 use crate::burn::{Burn, Objective};
 use crate::connect::{Code, Codec, Fault};
 use crate::convert;
+use crate::driver::{Command, Status};
 use crate::metrics::Metrics;
 
-/// Largest request body, in bytes: the largest payload as base64, and room.
+/// Largest request body, in bytes: the largest payload in base64 and the other fields.
 pub(crate) const MAX_BODY: usize = 131_072;
-/// When the brain's ring is full a new try makes sense after this time.
-const BUSY_RETRY: Duration = Duration::from_millis(500);
+/// Delay after which a caller should retry if the driver's queue is full.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
 const PREFIX: &str = "/quincewheel.v1.Scheduler/";
 
-/// Answers HTTP requests.
+/// Routes HTTP requests.
 #[derive(Clone)]
 pub(crate) struct Routes {
     pub name: String,
-    pub work: ring::Sender<Work>,
+    pub commands: ring::Sender<Command>,
     pub status: Arc<Status>,
     pub metrics: Arc<Metrics>,
     pub burn: Arc<Mutex<Burn>>,
@@ -39,7 +39,7 @@
     pub async fn serve(self, mut request: Request) -> Reply {
         let path = request.path().to_owned();
         match path.as_str() {
-            "/healthz" => text(200, "alive\n"),
+            "/healthz" => plain_text(200, "alive\n"),
             "/readyz" => self.ready(),
             "/metrics" => {
                 let kind = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -47,7 +47,7 @@
             }
             _ => match path.strip_prefix(PREFIX) {
                 Some(method) => self.rpc(method, &mut request).await,
-                None => text(404, "no such page\n"),
+                None => plain_text(404, "no such page\n"),
             },
         }
     }
@@ -55,14 +55,14 @@
     fn ready(&self) -> Reply {
         let ready = self.status.ready.load(Ordering::Relaxed);
         if ready && !self.draining.load(Ordering::Relaxed) {
-            text(200, "ready\n")
+            plain_text(200, "ready\n")
         } else {
-            text(503, "not ready: no owner is reachable, or this entry is draining\n")
+            plain_text(503, "not ready: no owner is reachable, or this entry is draining\n")
         }
     }
 
     async fn rpc(&self, method: &str, request: &mut Request) -> Reply {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let result = self.call(method, request).await;
         let (reply, outcome) = match result {
             Ok((reply, outcome)) => (reply, outcome),
@@ -70,7 +70,7 @@
         };
         let known = METHODS.contains(&method);
         let method = if known { method } else { "unknown" };
-        self.metrics.count(method, outcome, began.elapsed().as_secs_f64());
+        self.metrics.count(method, outcome, started_at.elapsed().as_secs_f64());
         reply
     }
 
@@ -85,15 +85,14 @@
         };
         let content_type = header("content-type");
         let bearer = header("authorization");
-        // The body is read first in any case, so that the connection can be
-        // used again whatever is wrong with the rest.
+        // The body is read before any check, so that the connection can be reused after an error.
         let body = quincewheel_http::read(request, MAX_BODY).await;
         if request.method().as_str() != "POST" {
-            return Err(Fault::new(Code::Unimplemented, "calls are made with POST"));
+            return Err(Fault::new(Code::Unimplemented, "use POST for calls"));
         }
         let Some(codec) = Codec::of(&content_type) else {
             let message = format!(
-                "content type {content_type:?} is not spoken here; use application/json or \
+                "content type {content_type:?} is not supported; use application/json or \
                  application/proto"
             );
             let mut fault = Fault::new(Code::MediaType, &message);
@@ -120,37 +119,38 @@
             return self.burn(codec, &body, key_digest).await;
         }
         let ask = parse(method, codec, &body)?;
-        let answer = self.ask(key_digest, ask.clone()).await?;
+        let answer = self.execute(key_digest, ask.clone()).await?;
         self.respond(codec, &ask, answer)
     }
 
-    /// Hands a call to the brain and waits for its answer.
-    async fn ask(&self, key_digest: String, ask: Ask) -> Result<Answer, Fault> {
-        let busy = |message: &str| Fault::new(Code::Unavailable, message).retry_after(BUSY_RETRY);
+    /// Sends a call to the driver and waits for its answer.
+    async fn execute(&self, key_digest: String, ask: Ask) -> Result<Answer, Fault> {
+        let unavailable =
+            |message: &str| Fault::new(Code::Unavailable, message).retry_after(RETRY_AFTER);
         if self.draining.load(Ordering::Relaxed) {
-            return Err(busy("this entry is shutting down; call another"));
+            return Err(unavailable("this entry is shutting down; call another"));
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let (reply, answer) = oneshot::channel();
-        let work = Work::Call { key_digest, ask: ask.clone(), reply };
-        if self.work.try_send(work).is_err() {
-            self.count_answered(&ask, None, began);
-            return Err(busy("too many calls wait at this entry; nothing was done"));
+        let command = Command::Call { key_digest, ask: ask.clone(), reply };
+        if self.commands.try_send(command).is_err() {
+            self.count_answered(&ask, None, started_at);
+            return Err(unavailable("the call queue of this entry is full; nothing was done"));
         }
-        let answer = answer.await.map_err(|_| busy("this entry is ending"))?;
-        self.count_answered(&ask, Some(&answer), began);
+        let answer = answer.await.map_err(|_| unavailable("this entry is shutting down"))?;
+        self.count_answered(&ask, Some(&answer), started_at);
         Ok(answer)
     }
 
-    /// Counts an answer against the objectives.
-    fn count_answered(&self, ask: &Ask, answer: Option<&Answer>, began: Instant) {
+    /// Counts an answer against the service-level objectives.
+    fn count_answered(&self, ask: &Ask, answer: Option<&Answer>, started_at: Instant) {
         let Ask::Submit(job) = ask else { return };
         let outcome = match answer {
             Some(Answer::Job { outcome, .. }) => Some(outcome),
             Some(Answer::Refused(Refusal::Unavailable { .. })) | None => None,
             Some(_) => return,
         };
-        let in_time = outcome.is_some() && began.elapsed() <= job.deadline;
+        let in_time = outcome.is_some() && started_at.elapsed() <= job.deadline;
         let now = self.start.elapsed();
         let mut burn = self.burn.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         burn.count(&job.team, Objective::Answered, in_time, now);
@@ -176,7 +176,12 @@
                     Ask::Wait { team, request, .. }
                     | Ask::Cancel { team, request }
                     | Ask::Get { team, request } => (team, request),
-                    _ => return Err(Fault::new(Code::Unavailable, "mismatched answer")),
+                    _ => {
+                        return Err(Fault::new(
+                            Code::Unavailable,
+                            "the answer is of another kind than the call",
+                        ));
+                    }
                 };
                 let reply = convert::job_reply(team, request, outcome, attempts);
                 Ok((codec.reply(&reply), name))
@@ -193,7 +198,7 @@
         }
     }
 
-    /// This entry's own counts; other entries are named as not counted.
+    /// Replies with this entry's own counts and lists the other entries as missing.
     async fn burn(
         &self,
         codec: Codec,
@@ -201,9 +206,9 @@
         key_digest: String,
     ) -> Result<(Reply, &'static str), Fault> {
         codec.decode::<v1::GetBurnRequest>(body)?;
-        // The report is about all teams: only operators may see it. Asking for
-        // the configuration checks that and tells which other entries there are.
-        let answer = self.ask(key_digest, Ask::Configuration).await?;
+        // The report covers all teams, so only operators may read it. The query of the
+        // configuration checks the key and returns the other entries.
+        let answer = self.execute(key_digest, Ask::Configuration).await?;
         let missing = match answer {
             Answer::Refused(refusal @ Refusal::Denied { .. }) => {
                 return Err(convert::fault(refusal));
@@ -212,7 +217,7 @@
                 let others = processes.into_iter().filter(|process| process.entry);
                 others.map(|process| process.name).filter(|name| *name != self.name).collect()
             }
-            _ => vec!["all other entries: no owner tells which there are".to_owned()],
+            _ => vec!["all other entries: no owner is reachable to list them".to_owned()],
         };
         let burn = self.burn.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let rows = burn.report(self.start.elapsed());
@@ -255,6 +260,6 @@
     codec.decode(body)
 }
 
-fn text(status: u16, body: &'static str) -> Reply {
+fn plain_text(status: u16, body: &'static str) -> Reply {
     quincewheel_http::reply(status, "text/plain; charset=utf-8", body)
 }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -14,26 +14,26 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::Instant;
 
-use crate::brain::{Brain, Inbox, Status, Stored, Work};
 use crate::burn::Burn;
 use crate::burn_report;
 use crate::day::sum_up;
+use crate::driver::{Command, Driver, Inbox, Status, StoreResult};
 use crate::explain::explain;
 use crate::metrics::Metrics;
 use crate::routes::Routes;
 use crate::settings::{DEFINITIONS, PROGRAM, Settings};
 use crate::site;
 
-/// Calls that may wait for the brain; more are refused at once.
-const WORK: usize = 4096;
-/// Events of other processes that may wait for the brain.
-const PEERS: usize = 4096;
-/// Answers of the table that may wait for the brain.
-const STORED: usize = 128;
-/// A call to the table without an answer is unclear after this time.
-const TABLE: Duration = Duration::from_millis(2000);
+/// Capacity of the queue of calls to the driver; calls beyond it are refused at once.
+const MAX_QUEUED_COMMANDS: usize = 4096;
+/// Capacity of the queue of events from other processes to the driver.
+const MAX_QUEUED_EVENTS: usize = 4096;
+/// Capacity of the queue of results from the table to the driver.
+const MAX_QUEUED_RESULTS: usize = 128;
+/// Time after which the outcome of a call to the table counts as unclear.
+const TABLE_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// Runs the program with these arguments.
+/// Runs the program with these command-line arguments.
 pub fn run(args: &[String]) -> ExitCode {
     if let [command, id] = args
         && command == "explain"
@@ -52,7 +52,7 @@
     if let [command, rest @ ..] = args
         && command == "day"
     {
-        return day(rest);
+        return summarize(rest);
     }
     let (command, values) = match PROGRAM.launch(args) {
         Ok(launched) => launched,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Prints the times that the platform's settings file sets, if there is one.
+/// Prints the time limits that the platform's settings file sets, if there is one.
 fn check_platform() -> ExitCode {
     let Some(path) = quincewheel_platform::path() else { return ExitCode::SUCCESS };
     match quincewheel_platform::read(&path) {
@@ -95,8 +95,8 @@
     }
 }
 
-/// Sums up the logs of a time that began `ZERO` seconds after 1970.
-fn day(args: &[String]) -> ExitCode {
+/// Summarises the logs of a period that began `ZERO` seconds after 1970.
+fn summarize(args: &[String]) -> ExitCode {
     let zero = match args {
         [] => None,
         [zero] if zero.parse::<f64>().is_ok() => zero.parse().ok(),
@@ -119,22 +119,22 @@
     quincewheel_log::open(&settings.name, settings.log_level).map_err(io::Error::other)?;
     let start = Instant::now();
     let incarnation: u64 = rand::random();
-    let (work, work_in) = ring::open(WORK);
-    let (peers, peers_in) = ring::open(PEERS);
-    let (stored, stored_in) = ring::open(STORED);
+    let (commands, commands_in) = ring::open(MAX_QUEUED_COMMANDS);
+    let (peers, peers_in) = ring::open(MAX_QUEUED_EVENTS);
+    let (results, results_in) = ring::open(MAX_QUEUED_RESULTS);
     let hello = Hello { role: Role::Entry, name: settings.name.clone(), incarnation };
     let key = Key::new(settings.fleet_key.as_bytes());
     let hub =
         Hub::bind(&settings.listen, key, hello, peers, |event| event).map_err(io::Error::other)?;
     let traffic = hub.traffic();
-    let service = Service::spawn(&settings.platform, TABLE, stored, Stored)?;
+    let service = Service::spawn(&settings.platform, TABLE_TIMEOUT, results, StoreResult)?;
     let status = Arc::new(Status::default());
     let node = Node::open(node_settings(&settings, incarnation));
     let events = settings.events.then(|| settings.name.clone());
-    let inbox = Inbox { stored: stored_in, peers: peers_in, work: work_in };
-    Brain::spawn(node, hub, service, Arc::clone(&status), events, inbox)?;
+    let inbox = Inbox { store_results: results_in, peer_events: peers_in, commands: commands_in };
+    Driver::spawn(node, hub, service, Arc::clone(&status), events, inbox)?;
     let draining = Arc::new(AtomicBool::new(false));
-    let routes = routes(&settings, &work, &status, traffic, &draining, start);
+    let routes = routes(&settings, &commands, &status, traffic, &draining, start);
     let server = Server::bind("rpc", &settings.rpc, move |request| routes.clone().serve(request))
         .map_err(|error| {
         let text = format!("listen for callers on {}: {error}", settings.rpc);
@@ -143,9 +143,9 @@
     log::info!(step = "start", peer = settings.rpc.as_str(); "serving");
     let runtime = actix_rt::Runtime::new()?;
     runtime.block_on(async {
-        terminated().await?;
+        wait_for_signal().await?;
         log::info!(step = "drain"; "shutting down");
-        drain(&work, &status, &draining, settings.drain).await;
+        drain(&commands, &status, &draining, settings.drain).await;
         server.stop().await;
         log::info!(step = "drain"; "ended");
         Ok(())
@@ -154,7 +154,7 @@
 
 fn routes(
     settings: &Settings,
-    work: &ring::Sender<Work>,
+    commands: &ring::Sender<Command>,
     status: &Arc<Status>,
     traffic: Arc<Traffic>,
     draining: &Arc<AtomicBool>,
@@ -162,9 +162,9 @@
 ) -> Routes {
     Routes {
         name: settings.name.clone(),
-        work: work.clone(),
+        commands: commands.clone(),
         status: Arc::clone(status),
-        metrics: Arc::new(Metrics::open(Arc::clone(status), traffic)),
+        metrics: Arc::new(Metrics::new(Arc::clone(status), traffic)),
         burn: Arc::new(Mutex::new(Burn::default())),
         draining: Arc::clone(draining),
         start,
@@ -188,7 +188,7 @@
     }
 }
 
-async fn terminated() -> io::Result<()> {
+async fn wait_for_signal() -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -198,13 +198,19 @@
     Ok(())
 }
 
-/// Takes nothing new, hands ownership over and waits until every call in
-/// flight is answered, but no longer than `bound`.
-async fn drain(work: &ring::Sender<Work>, status: &Status, draining: &AtomicBool, bound: Duration) {
+/// Refuses new calls, hands over the ownership and waits until every call in flight is answered,
+/// for at most `bound`.
+async fn drain(
+    commands: &ring::Sender<Command>,
+    status: &Status,
+    draining: &AtomicBool,
+    bound: Duration,
+) {
     draining.store(true, Ordering::Relaxed);
-    work.send(Work::Drain).await;
+    commands.send(Command::Drain).await;
     let end = Instant::now() + bound;
-    // The brain publishes its state after each round: two rounds see the drain.
+    // The driver publishes its status after each round; after this time it has handled the
+    // command.
     tokio::time::sleep(Duration::from_millis(200)).await;
     loop {
         let idle = status.pending.load(Ordering::Relaxed) == 0;
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -11,7 +11,7 @@
     Definition::required("name", "NAME", "Name of this instance, unique among the entries");
 const RPC: Definition =
     Definition::required("rpc", "IP:PORT", "Address on which callers and operators call");
-const OPERATOR: Definition = Definition::required(
+const OPERATOR_KEY_DIGEST: Definition = Definition::required(
     "operator-key-digest",
     "HEX",
     "SHA-256 of the operators' bearer key, in hexadecimal",
@@ -70,7 +70,7 @@
     "86400",
     "Seconds that a recorded outcome is kept, 60 to 2592000",
 );
-const KEY: Definition = Definition::optional(
+const OPERATOR_KEY: Definition = Definition::optional(
     "operator-key",
     "SECRET",
     "",
@@ -85,7 +85,7 @@
     LISTEN,
     PLATFORM,
     FLEET_KEY,
-    OPERATOR,
+    OPERATOR_KEY_DIGEST,
     DRAIN,
     GRACE,
     QUEUE,
@@ -98,7 +98,7 @@
     LOG_LEVEL,
     METRICS_PORT,
     EVENTS,
-    KEY,
+    OPERATOR_KEY,
 ];
 
 /// The command line of an entry.
@@ -115,39 +115,39 @@
     definitions: DEFINITIONS,
 };
 
-/// Checked settings of an entry.
+/// Validated settings of an entry.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of the instance.
     pub name: String,
-    /// Where callers call.
+    /// Address on which callers connect.
     pub rpc: String,
-    /// Where other processes connect.
+    /// Address on which other processes connect.
     pub listen: String,
-    /// Where the platform is.
+    /// Address of the platform.
     pub platform: String,
-    /// Proves membership.
+    /// Key shared by all processes, which authenticates connections between them.
     pub fleet_key: String,
     /// SHA-256 of the operators' key.
     pub operator_digest: String,
-    /// Time for calls in flight after SIGTERM.
+    /// Time that calls in flight have to end after SIGTERM.
     pub drain: Duration,
-    /// Time for a task to checkpoint.
+    /// Time that a task has to save a checkpoint before it is stopped.
     pub grace: Duration,
-    /// Bounds of the pool.
+    /// Limits of the pool.
     pub limits: Limits,
-    /// Starts of one idempotent job.
+    /// Maximum number of starts of one idempotent job.
     pub attempts: u32,
-    /// How long outcomes are kept.
+    /// How long recorded outcomes are kept.
     pub retention: Duration,
-    /// How much is logged.
+    /// Level of the log.
     pub log_level: LevelFilter,
-    /// Whether events are written.
+    /// Whether audit events are written.
     pub events: bool,
 }
 
 impl Settings {
-    /// Checks all values and reports every mistake.
+    /// Validates all values and returns every error.
     pub fn resolve(values: &Values) -> Result<Settings, Vec<Error>> {
         let mut r = Resolver::new(values);
         let settings = Settings {
@@ -156,7 +156,7 @@
             listen: r.address(&LISTEN),
             platform: r.address(&PLATFORM),
             fleet_key: r.secret(&FLEET_KEY, 16),
-            operator_digest: r.digest(&OPERATOR),
+            operator_digest: r.digest(&OPERATOR_KEY_DIGEST),
             drain: r.millis(&DRAIN, 0, 600_000),
             grace: r.millis(&GRACE, 0, 600_000),
             limits: Limits {
@@ -174,10 +174,10 @@
         r.finish(settings)
     }
 
-    /// What the burn report needs: where to ask and the operators' key.
+    /// Returns what the burn report needs: the entry's address and the operators' key.
     pub(crate) fn resolve_burn(values: &Values) -> Result<(String, String), Vec<Error>> {
         let mut r = Resolver::new(values);
-        let burn = (r.address(&RPC), r.secret(&KEY, 1));
+        let burn = (r.address(&RPC), r.secret(&OPERATOR_KEY, 1));
         r.finish(burn)
     }
 }
--- a/crates/entry/src/site/ownership.rs
+++ b/crates/entry/src/site/ownership.rs
@@ -248,9 +248,9 @@
         match output {
             Output::Send { link, order } => {
                 if !shared.hub.ask(Command::Send { link, frame: Sent::Order(order) }) {
-                    log::warn!(event = "hub full", link = link; "connection closed");
+                    log::warn!(event = "hub full", link = link; "send queue full; closing the connection");
                     current_owner.on_disconnected(link);
-                    shared.hub.ask(Command::Close { link, reason: "too many orders wait" });
+                    shared.hub.ask(Command::Close { link, reason: "send queue full" });
                 }
             }
             Output::RequestClearance { request } => {
--- a/crates/entry/tests/day.rs
+++ b/crates/entry/tests/day.rs
@@ -1,4 +1,4 @@
-//! A day's logs, summed up.
+//! The summary of a period's logs.
 
 use insta::assert_snapshot;
 use quincewheel_entry::sum_up;
@@ -31,10 +31,10 @@
 "#;
 
 #[test]
-fn late_and_unfinished_jobs_are_told_with_where_their_time_went() {
-    let mut told = Vec::new();
-    let jobs = sum_up(Some(100.0), LOGS.as_bytes(), &mut told).unwrap();
-    assert_snapshot!(format!("{jobs} jobs\n{}", String::from_utf8(told).unwrap()));
+fn late_and_unfinished_jobs_are_listed_with_time_by_phase() {
+    let mut output = Vec::new();
+    let jobs = sum_up(Some(100.0), LOGS.as_bytes(), &mut output).unwrap();
+    assert_snapshot!(format!("{jobs} jobs\n{}", String::from_utf8(output).unwrap()));
 }
 
 #[test]
@@ -42,9 +42,10 @@
     assert_eq!(sum_up(None, "x\n{}\n".as_bytes(), Vec::new()).unwrap(), 0);
 }
 
-// Symptom: nobody knows when a zone was empty. A new owner tells an evacuation anew; it is one.
+// The summary did not show when an evacuated zone was empty. A new owner logs an evacuation in
+// progress again; it counts as one.
 #[test]
-fn evacuations_are_told_with_when_the_zone_was_empty() {
+fn evacuations_are_listed_with_the_time_when_the_zone_was_empty() {
     let logs = r#"
 {"t":100.000,"process":"e1","event":"accepted","job":"aa","queue":"q","msg":"version 7 1x1"}
 {"t":101.000,"process":"e1","event":"zone evacuated","job":"z1","msg":"20 workers take nothing new, 3 runs go on"}
@@ -53,10 +54,10 @@
 {"t":109.000,"process":"e2","event":"evacuation over","job":"z1","msg":"its workers take work again"}
 {"t":110.000,"process":"e2","event":"zone evacuated","job":"z0","msg":"19 workers take nothing new, 1 runs go on"}
 "#;
-    let mut told = Vec::new();
-    sum_up(Some(100.0), logs.as_bytes(), &mut told).unwrap();
-    let told = String::from_utf8(told).unwrap();
-    let zones = told.split_once("zones evacuated").unwrap().1;
+    let mut output = Vec::new();
+    sum_up(Some(100.0), logs.as_bytes(), &mut output).unwrap();
+    let output = String::from_utf8(output).unwrap();
+    let zones = output.split_once("zones evacuated").unwrap().1;
     assert_snapshot!(zones, @r"
     : at, empty, taken back
     z0: 10.000, -, -
--- a/crates/entry/tests/explain.rs
+++ b/crates/entry/tests/explain.rs
@@ -1,4 +1,4 @@
-//! One job's story out of the logs of all processes.
+//! The history of one job from the logs of all processes.
 
 use insta::assert_snapshot;
 use quincewheel_entry::explain;
@@ -15,11 +15,11 @@
 "#;
 
 #[test]
-fn lines_of_one_job_come_in_order_with_the_changes_between_them() {
-    let mut story = Vec::new();
-    let told = explain("aa", LOGS.as_bytes(), &mut story).unwrap();
-    let story = String::from_utf8(story).unwrap();
-    assert_snapshot!(format!("{told} lines\n{story}"), @r"
+fn lines_of_one_job_are_sorted_and_include_changes_of_owner() {
+    let mut output = Vec::new();
+    let count = explain("aa", LOGS.as_bytes(), &mut output).unwrap();
+    let output = String::from_utf8(output).unwrap();
+    assert_snapshot!(format!("{count} lines\n{output}"), @r"
     3 lines
         0.000  e1                       accepted: version 7
         0.020  e1                       start: aa.0.0.0 run 1 at w1
@@ -39,14 +39,14 @@
 {"t":18.700,"process":"e2","event":"settled","job":"","msg":"6200 ms; not heard: w1"}
 "#;
 
-// Symptom: the story of a job that stands still ends with its last line, which may be
-// `accepted`. Cause: what concerns no job was shown only up to the job's last line.
+// The history of a job that is stuck ended at the job's last line, such as `accepted`, because
+// events without a job were shown only up to that line.
 #[test]
-fn the_story_of_a_job_that_has_not_ended_tells_what_it_waits_for() {
-    let mut story = Vec::new();
-    let told = explain("aa", WAITING.as_bytes(), &mut story).unwrap();
-    let story = String::from_utf8(story).unwrap();
-    assert_snapshot!(format!("{told} lines\n{story}"), @r"
+fn history_of_an_unfinished_job_shows_what_it_waits_for() {
+    let mut output = Vec::new();
+    let count = explain("aa", WAITING.as_bytes(), &mut output).unwrap();
+    let output = String::from_utf8(output).unwrap();
+    assert_snapshot!(format!("{count} lines\n{output}"), @r"
     2 lines
         0.000  e1                       accepted: version 7
         1.000  e1                       waits: aa.0.0, 1 tasks, 1000 ms: no room: room for 0 of 1, for 1 if nothing ran
@@ -57,12 +57,12 @@
 }
 
 #[test]
-fn the_story_of_a_job_that_ended_ends_with_it() {
+fn history_of_an_ended_job_stops_at_its_end() {
     let end = r#"{"t":12.000,"process":"e1","event":"job ended","job":"aa","msg":"Cancelled"}"#;
-    let mut story = Vec::new();
-    explain("aa", format!("{WAITING}{end}").as_bytes(), &mut story).unwrap();
-    let story = String::from_utf8(story).unwrap();
-    assert_snapshot!(story, @r"
+    let mut output = Vec::new();
+    explain("aa", format!("{WAITING}{end}").as_bytes(), &mut output).unwrap();
+    let output = String::from_utf8(output).unwrap();
+    assert_snapshot!(output, @r"
     0.000  e1                       accepted: version 7
     1.000  e1                       waits: aa.0.0, 1 tasks, 1000 ms: no room: room for 0 of 1, for 1 if nothing ran
     2.000  e1                       job ended: Cancelled
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn an_unknown_job_has_no_story() {
-    let mut story = Vec::new();
-    assert_eq!(explain("cc", LOGS.as_bytes(), &mut story).unwrap(), 0);
-    assert!(story.is_empty());
+fn unknown_job_has_no_history() {
+    let mut output = Vec::new();
+    assert_eq!(explain("cc", LOGS.as_bytes(), &mut output).unwrap(), 0);
+    assert!(output.is_empty());
 }
