--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -1,4 +1,4 @@
-//! Room that is made by stopping work, and kept until it is free.
+//! Preemption: stopping work to make room for a step, and reserving that room until it is free.
 
 use std::collections::BTreeSet;
 
@@ -9,13 +9,14 @@
 use crate::candidate::Candidate;
 use crate::entry::Reservation;
 use crate::owner::Owner;
-use crate::plan::held;
+use crate::plan::tasks_per_worker;
 use crate::snapshot::Snapshot;
 use crate::suspects::RecentStart;
 
 impl Owner {
-    /// Starts a step on the room that was kept for it. False if that is void.
-    pub(crate) fn redeem(
+    /// Starts a step on the room reserved for it, or keeps the reservation if the room is not
+    /// free yet. Returns false if the reservation is void.
+    pub(crate) fn use_reservation(
         &mut self,
         candidate: &Candidate,
         reservation: &Reservation,
@@ -37,14 +38,14 @@
             entry.job.queue.advice.is_none() || entry.ticket(key, worker, now).is_some()
         };
         let until = reservation.made_at + self.settings.reservation_ttl;
-        // A worker that is left alone for a moment after a refusal keeps its promise; taken
-        // for void, work at another one would be stopped as well.
+        // A reservation stays valid while its worker is in a pause after a refusal. If it were
+        // void, work on yet another worker would be stopped as well.
         let paused =
             |name: &String| self.agents.get(name).is_some_and(|agent| agent.refusals.until > 0);
         let trial =
             |place: &usize| snapshot.recent_starts.get(place) == Some(&RecentStart::Suspect);
         if now < until && (reservation.agents.iter().any(paused) || places.iter().any(trial)) {
-            self.keep_until(until);
+            self.track_reservation_end(until);
             return true;
         }
         let valid =
@@ -66,10 +67,10 @@
                 spots[place].reserve(&need);
                 fits
             });
-            // Else somebody who comes first took the room.
+            // Otherwise a candidate with a better rank has taken the room.
             if promised {
                 snapshot.spots = spots;
-                self.keep_until(until);
+                self.track_reservation_end(until);
             }
             return promised;
         }
@@ -81,13 +82,14 @@
         true
     }
 
-    /// Sees to it that the next round is no later than the end of a reservation.
-    fn keep_until(&mut self, until: u64) {
+    /// Ensures that the next round of planning is no later than the end of a reservation.
+    fn track_reservation_end(&mut self, until: u64) {
         self.reservation_ends_at =
             Some(self.reservation_ends_at.map_or(until, |known| known.min(until)));
     }
 
-    /// Stops work that gives way, and keeps its room.
+    /// Stops work that the candidate may preempt, and reserves the room for its tasks from index
+    /// `started` on. Does nothing if no such work makes enough room or if the loss is too high.
     pub(crate) fn make_room(
         &mut self,
         candidate: &Candidate,
@@ -99,7 +101,7 @@
     ) {
         let rest = &candidate.tasks[started..];
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
-        let held = held(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
+        let held = tasks_per_worker(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
         let promised =
             borrowed_reclaim_at(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
@@ -155,7 +157,7 @@
         let agents =
             claim.workers.iter().map(|&place| snapshot.spots[place].name.clone()).collect();
         let reservation = Reservation { agents, made_at: now };
-        self.keep_until(now + self.settings.reservation_ttl);
+        self.track_reservation_end(now + self.settings.reservation_ttl);
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
             entry.reservations.insert((candidate.occurrence, candidate.step), reservation);
         }
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -1,8 +1,8 @@
-//! Telling why work whose turn has come does not start.
+//! Diagnosis and logging of why ready work does not start.
 //!
-//! Decisions are made only when something changes, and note then what keeps
-//! each step from starting. Lines are written when time passes, so also where
-//! nothing changes any more.
+//! Planning happens only when something changes, and records then what keeps each step from
+//! starting. The log lines are written by ticks, so that they appear even if nothing changes any
+//! more.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,22 +13,22 @@
 use crate::cause::Cause;
 use crate::entry::Entry;
 use crate::owner::Owner;
-use crate::plan::{held, pending};
+use crate::plan::{pending_tasks, tasks_per_worker};
 use crate::snapshot::Snapshot;
-use crate::tally::{Bar, Tally};
-use crate::waits::Group;
+use crate::tally::{Restriction, Tally};
+use crate::waits::StepKey;
 
 impl Owner {
-    /// How many steps have waited for long, by cause.
+    /// Returns how many steps have waited for at least a second, by cause.
     pub fn long_waits(&self) -> BTreeMap<Cause, usize> {
         let mut counts = BTreeMap::new();
-        let long = self.waits.long(self.now).filter(|(group, _)| is_open(&self.jobs, &group.0));
+        let long =
+            self.waits.long_waits(self.now).filter(|(group, _)| is_open(&self.jobs, &group.0));
         long.for_each(|(_, cause)| *counts.entry(cause).or_default() += 1);
         counts
     }
 
-    /// Takes note of a step that waits for room that is being made, if it does.
-    /// False if no room is.
+    /// Records that a step waits for its reserved room. Returns false if it has none.
     pub(crate) fn record_reserved_wait(&mut self, candidate: &Candidate, now: u64) -> bool {
         let place = (candidate.occurrence, candidate.step);
         let reserved = |entry: &Entry| entry.reservations.contains_key(&place);
@@ -36,17 +36,17 @@
             return false;
         }
         let wait = (self.unplaced_tasks(candidate), Cause::Reserved);
-        self.waits.note(group(candidate), wait, (0, 0), now);
+        self.waits.record(group(candidate), wait, (0, 0), now);
         true
     }
 
-    /// Takes note of what keeps tasks of a candidate from starting, if any still
-    /// wait. `bars` are those of the snapshot's workers.
+    /// Records what keeps tasks of a candidate from starting, if any still wait. `limits` holds
+    /// the restriction on each worker of the snapshot; empty if there are none.
     pub(crate) fn record_wait(
         &mut self,
         candidate: &Candidate,
         snapshot: &Snapshot,
-        bars: &[Bar],
+        limits: &[Restriction],
         now: u64,
     ) {
         let left = self.unplaced_tasks(candidate);
@@ -54,24 +54,24 @@
             return;
         }
         let key = group(candidate);
-        let Some((cause, room)) = self.cause(&key, left, &snapshot.spots, bars) else { return };
-        self.waits.note(key, (left, cause), room, now);
+        let Some((cause, room)) = self.cause(&key, left, &snapshot.spots, limits) else { return };
+        self.waits.record(key, (left, cause), room, now);
     }
 
-    /// Why so many tasks of a step do not start on these workers, how many fit
-    /// now, and how many would if nothing ran.
+    /// Returns why this number of tasks of a step does not start on the workers `spots`, how many
+    /// of them fit now, and how many would fit if nothing ran.
     pub(crate) fn cause(
         &self,
-        (id, occurrence, number): &Group,
+        (id, occurrence, number): &StepKey,
         tasks: usize,
         spots: &[WorkerState],
-        bars: &[Bar],
+        restrictions: &[Restriction],
     ) -> Option<(Cause, (u64, u64))> {
         let entry = self.jobs.get(id)?;
         let step = entry.job.steps.get(*number as usize)?;
         let pool = &self.pool_of(entry);
         let held = match entry.has_runs(*occurrence, *number) {
-            true => &held(entry, (*occurrence, *number), spots)[..],
+            true => &tasks_per_worker(entry, (*occurrence, *number), spots)[..],
             false => &[],
         };
         let count = tasks as u32;
@@ -84,26 +84,26 @@
             ignores_ending: false,
             tasks_by_worker: held,
         };
-        let tally = Tally::open(spots, bars, &ask);
+        let tally = Tally::count(spots, restrictions, &ask);
         let unconfigured = entry.job.queue.priority == 0 && self.config.version == 0;
         let cause = match tally.cause() {
-            Cause::Few => self.closed(&ask, &tally),
+            Cause::Few => self.closed_or_too_few(&ask, &tally),
             Cause::Room if unconfigured => Cause::Unconfigured,
             cause => cause,
         };
         Some((cause, tally.room()))
     }
 
-    /// Takes note of steps that are no candidates, though their turn has come.
-    pub(crate) fn note_held_back(&mut self, now: u64, wall: u64) {
+    /// Records waits of steps that are ready but are not candidates yet.
+    pub(crate) fn record_held_back(&mut self, now: u64, wall: u64) {
         for (group, wait) in self.held_back(wall) {
-            self.waits.note(group, wait, (0, 0), now);
+            self.waits.record(group, wait, (0, 0), now);
         }
     }
 
-    /// Tells what had waited, and for what, once it waits no more.
-    pub(crate) fn tell_waited(&mut self, now: u64) {
-        for (group, wait) in self.waits.end(now) {
+    /// Logs the steps that have started after waiting, and what they had waited for.
+    pub(crate) fn log_ended_waits(&mut self, now: u64) {
+        for (group, wait) in self.waits.end_round(now) {
             let (id, occurrence, step) = &group;
             let begun = |entry: &Entry| entry.has_runs(*occurrence, *step);
             if !self.jobs.get(id).is_some_and(begun) {
@@ -116,20 +116,20 @@
         }
     }
 
-    /// Writes the lines that are due.
+    /// Writes the log lines that are due.
     pub(crate) fn log_waits(&mut self, now: u64, wall: u64) {
         self.log_unsettled(now, wall);
         self.review_waits(now);
-        if !self.waits.is_due(now) {
+        if !self.waits.has_due_lines(now) {
             return;
         }
         let jobs = &self.jobs;
         self.waits.retain(|group, _| is_open(jobs, &group.0));
-        let (told, left) = self.waits.take(now);
-        for (group, wait) in told {
+        let (due, left) = self.waits.take_due_lines(now);
+        for (group, wait) in due {
             let (id, occurrence, step) = &group;
             let name = format!("{id}.{occurrence}.{step}, {} tasks", wait.tasks);
-            let (ms, cause) = (now - wait.since, wait.cause.name());
+            let (ms, cause) = (now - wait.waiting_since, wait.cause.name());
             let detail = self.wait_detail(&group, &wait, now);
             self.log("waits", id, format!("{name}, {ms} ms: {cause}: {detail}"));
         }
@@ -138,10 +138,10 @@
         }
     }
 
-    /// Forgets steps that a new owner held back and that turned out to run.
-    /// Returns how many it still holds back.
-    pub(crate) fn refresh_held_back(&mut self, wall: u64) -> usize {
-        let held: BTreeSet<Group> = self
+    /// Drops the waits of unsettled steps that have turned out to run. Returns how many steps are
+    /// still unsettled.
+    pub(crate) fn prune_held_back(&mut self, wall: u64) -> usize {
+        let held: BTreeSet<StepKey> = self
             .held_back(wall)
             .into_iter()
             .filter(|(_, (_, cause))| *cause == Cause::Unsettled)
@@ -151,9 +151,9 @@
         held.len()
     }
 
-    /// Steps that wait for members of a new owner, or for what is left of a
-    /// former start.
-    fn held_back(&self, wall: u64) -> Vec<(Group, (usize, Cause))> {
+    /// Returns steps that wait because a previous owner may have started them, or because runs of
+    /// an earlier start of their gang may still exist.
+    fn held_back(&self, wall: u64) -> Vec<(StepKey, (usize, Cause))> {
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter().filter(|(_, entry)| !entry.progress.state.is_final()) {
             let older = !self.settled && entry.version <= self.claim_version;
@@ -163,7 +163,7 @@
             for (occurrence, number, step) in due_steps(entry, wall) {
                 let wait = match older {
                     true => {
-                        let open = pending(entry, occurrence, number, step, id);
+                        let open = pending_tasks(entry, occurrence, number, step, id);
                         (open.len(), Cause::Unsettled)
                     }
                     false => (remains(entry, occurrence, number, step), Cause::Remains),
@@ -176,8 +176,8 @@
         found
     }
 
-    /// Why the open workers could not hold tasks if nothing ran.
-    fn closed(&self, ask: &Request<'_>, tally: &Tally<'_>) -> Cause {
+    /// Returns why the open workers could not hold the tasks even if nothing else ran.
+    fn closed_or_too_few(&self, ask: &Request<'_>, tally: &Tally<'_>) -> Cause {
         let label = &ask.step.label;
         let pool = || {
             let known = self.agents.values().filter(|agent| agent.worker.is_some());
@@ -197,7 +197,7 @@
     }
 }
 
-/// The steps of all occurrences whose time has come.
+/// Returns the steps of all occurrences that are due.
 fn due_steps(entry: &Entry, wall: u64) -> impl Iterator<Item = (u32, u32, &Step)> {
     let schedule = entry.job.schedule;
     let due = move |occurrence: &u32| schedule.is_none_or(|s| s.due(*occurrence) <= wall);
@@ -208,7 +208,7 @@
     (0..entry.job.occurrences()).take_while(due).flat_map(steps)
 }
 
-/// Tasks of a gang that cannot start since others of it may still run.
+/// Returns the number of a gang's tasks that cannot start because other members may still run.
 fn remains(entry: &Entry, occurrence: u32, number: u32, step: &Step) -> usize {
     if !step.gang || !entry.has_runs(occurrence, number) {
         return 0;
@@ -224,7 +224,7 @@
     jobs.get(id).is_some_and(|entry| !entry.progress.state.is_final())
 }
 
-fn group(candidate: &Candidate) -> Group {
+fn group(candidate: &Candidate) -> StepKey {
     (candidate.id.clone(), candidate.occurrence, candidate.step)
 }
 
--- a/crates/entry/src/site.rs
+++ b/crates/entry/src/site.rs
@@ -54,7 +54,7 @@
 
 /// Serves until the process receives a signal to terminate.
 pub(crate) fn serve(settings: &Path, own: &Own) -> io::Result<()> {
-    let site = platform::read(settings).map_err(io::Error::other)?;
+    let site = platform::read_settings(settings).map_err(io::Error::other)?;
     let Some(entry) = site.entry.clone() else {
         return Err(io::Error::other(
             "the settings name no address for clients; run the agent here",
@@ -66,18 +66,18 @@
     let (peers, peers_in) = ring::open::<Event<Notice>>(MAX_QUEUED_FRAMES);
     let hello = Hello { role: Role::Entry, name: site.name.clone(), incarnation };
     let key = Key::new(own.fleet_key.as_bytes());
-    let hub: Hub<Sent> =
-        Hub::bind(&site.peers, key, hello, peers, |event| event).map_err(io::Error::other)?;
+    let hub: Hub<Sent> = Hub::bind(&site.peer_address, key, hello, peers, |event| event)
+        .map_err(io::Error::other)?;
     let gate = Arc::new(Gate::default());
     let call_gate = Arc::clone(&gate);
     let metrics = Arc::new(Metrics::new());
     let served_metrics = Arc::clone(&metrics);
     let metrics_address = format!("{}:{}", site.ip, own.metrics_port);
-    let addresses = [&entry.callers, &entry.ready, &metrics_address].map(String::as_str);
+    let addresses = [&entry.clients, &entry.ready, &metrics_address].map(String::as_str);
     Server::bind_all("callers", &addresses, move |request| {
         serve_request(request, calls.clone(), Arc::clone(&call_gate), Arc::clone(&served_metrics))
     })?;
-    log::info!(event = "start", zone = site.zone.as_str(), peers = site.peers.as_str(); "entry");
+    log::info!(event = "start", zone = site.zone.as_str(), peers = site.peer_address.as_str(); "entry");
     let path = settings.to_owned();
     let runtime = actix_rt::Runtime::new()?;
     runtime.block_on(async move {
@@ -110,7 +110,7 @@
     if request.path() == quincewheel_http::METRICS {
         return quincewheel_http::metrics(metrics.page());
     }
-    if request.path() == platform::READY {
+    if request.path() == platform::READY_PATH {
         let status = if gate.ready() { 200 } else { 503 };
         return quincewheel_http::reply(status, "text/plain", "");
     }
--- a/crates/entry/src/site/calls.rs
+++ b/crates/entry/src/site/calls.rs
@@ -200,7 +200,7 @@
 /// its reply at once.
 async fn commit_if_reachable(shared: &Site, commit: &Commit) -> Result<u64, Error> {
     if shared.is_table_lost() {
-        let (step, peer) = ("commit", shared.settings.table.clone());
+        let (step, peer) = ("commit", shared.settings.table_address.clone());
         let detail = "not sent: the table does not answer".to_owned();
         return Err(Error::Refused { step, peer, detail });
     }
@@ -295,7 +295,7 @@
 /// Reads a job's rows from the table.
 pub(crate) async fn read_job(shared: &Site, id: &str) -> Result<Option<JobView>, Error> {
     if shared.is_table_lost() {
-        let (step, peer) = ("read", shared.settings.table.clone());
+        let (step, peer) = ("read", shared.settings.table_address.clone());
         let detail = "not sent: the table does not answer".to_owned();
         return Err(Error::Refused { step, peer, detail });
     }
@@ -303,7 +303,7 @@
     for key in [rows::job_key(id), rows::progress_key(id), rows::cancellation_key(id)] {
         let part = rows::part_of(&key);
         let read = Read { prefix: key, after: String::new(), limit: 1 };
-        let (page, _) = shared.table.read(Space::Own, part, &read, TABLE_TIMEOUT).await?;
+        let (page, _) = shared.table.read(Space::System, part, &read, TABLE_TIMEOUT).await?;
         for row in page.rows {
             let (key, version) = (row.key, row.version);
             found.apply(&Change { key, version, value: Some(row.value) });
--- a/crates/entry/src/site/clearance.rs
+++ b/crates/entry/src/site/clearance.rs
@@ -15,8 +15,8 @@
 
 /// Sends the owner's requests to the service.
 pub(crate) async fn run(shared: Shared) {
-    let address = shared.settings.advice.as_deref().unwrap_or_default();
-    let advisor = Advisor::open(address, Rc::clone(&shared.on_skipped));
+    let address = shared.settings.advisor_address.as_deref().unwrap_or_default();
+    let advisor = Advisor::new(address, Rc::clone(&shared.on_skipped));
     loop {
         let request = shared.clearance_request.borrow_mut().take();
         match request {
@@ -30,14 +30,15 @@
     let sent_at = quincewheel_clock::boot();
     let step_name = (request.job.as_str(), request.occurrence, request.step);
     let workers: Vec<&str> = request.workers.iter().map(|worker| worker.id.as_str()).collect();
-    let reply = advisor.ask(step_name, &workers, request_timeout(shared, request)).await;
+    let reply =
+        advisor.request_clearance(step_name, &workers, request_timeout(shared, request)).await;
     let now = quincewheel_clock::boot();
     if let Err(error) = &reply {
         log::warn!(event = "advice", job = request.job.as_str(), ms = now - sent_at; "{error}");
     }
     if let Some(owner) = shared.owner.borrow_mut().as_mut() {
         let reply = reply.as_ref().ok();
-        let clearance = reply.map(|reply| (reply.tickets.as_slice(), reply.valid));
+        let clearance = reply.map(|reply| (reply.tickets.as_slice(), reply.valid_ms));
         owner.on_clearance(request, clearance, sent_at, now);
     }
     tick(shared);
--- a/crates/entry/src/site/client_call.rs
+++ b/crates/entry/src/site/client_call.rs
@@ -53,7 +53,7 @@
     pub fn target(&self, config: &Config, body: &Body) -> Result<Target, Answer> {
         match self {
             Protocol::Path { method, host, path, authorization } => {
-                platform::target(config, method, host, path, authorization.as_deref())
+                platform::decode_target(config, method, host, path, authorization.as_deref())
                     .map_err(Answer::Refused)
             }
             Protocol::Procedure { name, codec, key } => {
@@ -65,7 +65,7 @@
     /// Decodes the job of a submission.
     pub fn job(&self, target: &Target, body: &[u8], accepted: u64) -> Result<Job, String> {
         match self {
-            Protocol::Path { .. } => platform::submission(target, body, accepted),
+            Protocol::Path { .. } => platform::decode_submission(target, body, accepted),
             Protocol::Procedure { codec, .. } => rpc::job(target, *codec, body, accepted),
         }
     }
@@ -74,7 +74,7 @@
     pub fn encode(&self, answer: &Answer) -> Reply {
         match self {
             Protocol::Path { .. } => {
-                let (status, body, after) = platform::encode(answer);
+                let (status, body, after) = platform::encode_answer(answer);
                 let mut reply = quincewheel_http::reply(status, "application/json", body);
                 if let Some(seconds) = after {
                     quincewheel_http::retry_after(&mut reply, seconds);
--- a/crates/entry/src/site/evacuation.rs
+++ b/crates/entry/src/site/evacuation.rs
@@ -10,7 +10,7 @@
     let known = shared.evacuation.borrow().clone();
     let previous = known.clone().unwrap_or_default();
     let initial = if complete { Default::default() } else { previous.clone() };
-    let zones = platform::evacuation(initial, rows, &*shared.on_skipped);
+    let zones = platform::apply_evacuation_rows(initial, rows, &*shared.on_skipped);
     if known.as_ref() == Some(&zones) {
         return;
     }
--- a/crates/entry/src/site/follow.rs
+++ b/crates/entry/src/site/follow.rs
@@ -4,7 +4,7 @@
 
 use futures_util::stream::{self, StreamExt, TryStreamExt};
 use quincewheel_dispatch::{Mirror, Owner, RowEvent, rows};
-use quincewheel_platform::{self as platform, Skipped, Space, Table};
+use quincewheel_platform::{self as platform, SkippedEntry, Space, Table};
 use quincewheel_store::{Change, Changes, Error, Read, scan};
 
 use super::evacuation;
@@ -54,7 +54,7 @@
                 } else {
                     Duration::ZERO
                 };
-                shared.feed.follow(Space::Operator, after, wait, CALL_TIMEOUT).await
+                shared.feed.wait_for_changes(Space::Operator, after, wait, CALL_TIMEOUT).await
             }
         };
         previous_succeeded = result.is_ok();
@@ -94,7 +94,7 @@
 
 fn apply_operator_row(shared: &Site, change: &Change) {
     let Some(value) = &change.value else { return };
-    match platform::wave(&change.key, value, &*shared.on_skipped) {
+    match platform::decode_wave(&change.key, value, &*shared.on_skipped) {
         None => {}
         Some(Err(detail)) => report_unreadable(shared, &change.key, &detail),
         Some(Ok(wave)) => {
@@ -103,7 +103,7 @@
             shared.wake.notify_one();
         }
     }
-    match platform::config(&change.key, value, &*shared.on_skipped) {
+    match platform::decode_config(&change.key, value, &*shared.on_skipped) {
         None => {}
         Some(Err(detail)) => report_unreadable(shared, &change.key, &detail),
         Some(Ok(config)) => {
@@ -119,7 +119,7 @@
 
 /// Reports a row whose value does not fit its key. The last valid value stays in effect.
 fn report_unreadable(shared: &Site, key: &str, detail: &str) {
-    (shared.on_skipped)(Skipped { list: "rows", detail: format!("{key}: {detail}") });
+    (shared.on_skipped)(SkippedEntry { list: "rows", detail: format!("{key}: {detail}") });
 }
 
 /// Follows the system's own rows.
@@ -127,11 +127,16 @@
     let mut version = None;
     loop {
         let result = match version {
-            None => read_all(&shared.feed, Space::Own).await,
+            None => read_all(&shared.feed, Space::System).await,
             Some(after) => {
                 shared
                     .feed
-                    .follow(Space::Own, after, poll_wait(&shared, OWN_ROWS_WAIT), CALL_TIMEOUT)
+                    .wait_for_changes(
+                        Space::System,
+                        after,
+                        poll_wait(&shared, OWN_ROWS_WAIT),
+                        CALL_TIMEOUT,
+                    )
                     .await
             }
         };
@@ -167,7 +172,11 @@
         if after == 0 || quincewheel_clock::boot() > started_at + CATCH_UP_LIMIT_MS {
             return None;
         }
-        match shared.table.follow(Space::Own, after, Duration::ZERO, CALL_TIMEOUT).await {
+        match shared
+            .table
+            .wait_for_changes(Space::System, after, Duration::ZERO, CALL_TIMEOUT)
+            .await
+        {
             Ok(changes) => apply(shared, &changes, false),
             Err(error) => {
                 log::info!(event = "takeover"; "{error}");
@@ -255,7 +264,7 @@
 /// delivered again.
 pub(crate) async fn read_all(table: &Table, space: Space) -> Result<Changes, Error> {
     let parts: Vec<&str> = match space {
-        Space::Own => rows::parts().collect(),
+        Space::System => rows::parts().collect(),
         Space::Operator => vec![""],
     };
     let read = parts.into_iter().map(|part| {
--- a/crates/entry/src/site/links.rs
+++ b/crates/entry/src/site/links.rs
@@ -161,8 +161,8 @@
 
 /// Writes this entry's row, with the address to which the owner connects.
 pub(crate) async fn announce(shared: Shared) {
-    let size = shared.settings.size;
-    write_node(&shared, Size { processor: size.processor, link: size.link }).await;
+    let size = shared.settings.limits;
+    write_node(&shared, Size { processor: size.cpu_millis, link: size.link_mbps }).await;
 }
 
 /// Writes this entry's row with the lowest rank, because the process is shutting down. Otherwise,
@@ -172,8 +172,8 @@
 }
 
 async fn write_node(shared: &Site, size: Size) {
-    let node = Node { address: shared.settings.peers.clone(), entry: true, size };
+    let node = Node { address: shared.settings.peer_address.clone(), entry: true, size };
     let commit = rows::announcement(&shared.settings.name, &node);
     let failed = |error: &Error| shared.record_table_reply(Err(error));
-    shared.table.insist(&commit, COMMIT_TIMEOUT, failed).await;
+    shared.table.commit_with_retry(&commit, COMMIT_TIMEOUT, failed).await;
 }
--- a/crates/entry/src/site/machines.rs
+++ b/crates/entry/src/site/machines.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use quincewheel_platform::{Machines, wave_status};
+use quincewheel_platform::{MachineService, wave_status_row};
 
 use super::ownership::tick;
 use super::state::{Shared, Site};
@@ -28,8 +28,8 @@
 
 /// Performs the requested calls concurrently, so that one that hangs does not delay the others.
 pub(crate) async fn run(shared: Shared) {
-    let machines = shared.settings.machines.as_deref().unwrap_or_default();
-    let machines = Rc::new(Machines::open(machines, Rc::clone(&shared.on_skipped)));
+    let machines = shared.settings.machines_address.as_deref().unwrap_or_default();
+    let machines = Rc::new(MachineService::new(machines, Rc::clone(&shared.on_skipped)));
     loop {
         let calls = std::mem::take(&mut *shared.machine_calls.borrow_mut());
         for call in calls {
@@ -43,7 +43,7 @@
     }
 }
 
-async fn execute(shared: &Site, machines: &Machines, call: MachineCall) {
+async fn execute(shared: &Site, machines: &MachineService, call: MachineCall) {
     match call {
         MachineCall::List => list(shared, machines).await,
         MachineCall::TakeDown { wave, machine } => {
@@ -53,22 +53,22 @@
     }
 }
 
-async fn list(shared: &Site, machines: &Machines) {
+async fn list(shared: &Site, machines: &MachineService) {
     let sent_at = quincewheel_clock::boot();
     match machines.list(CALL_TIMEOUT).await {
         Ok(listed) => {
             if let Some(owner) = shared.owner.borrow_mut().as_mut() {
-                owner.on_machines(listed.machines, listed.whole, listed.pages, sent_at);
+                owner.on_machines(listed.machines, listed.complete, listed.page_count, sent_at);
             }
         }
         Err(error) => log::warn!(event = "machines"; "{error}"),
     }
 }
 
-async fn take_down(shared: &Site, machines: &Machines, wave: u64, machine: &str) {
+async fn take_down(shared: &Site, machines: &MachineService, wave: u64, machine: &str) {
     let Some(epoch) = shared.owner.borrow().as_ref().map(|owner| owner.epoch()) else { return };
     let holder = shared.settings.name.as_str();
-    let result = machines.take((machine, wave), (holder, epoch), CALL_TIMEOUT).await;
+    let result = machines.take_down((machine, wave), (holder, epoch), CALL_TIMEOUT).await;
     let now = quincewheel_clock::boot();
     let mut owner = shared.owner.borrow_mut();
     if let Some(owner) = owner.as_mut().filter(|owner| owner.epoch() == epoch) {
@@ -79,9 +79,9 @@
 /// Writes a wave's status until the table confirms it or this entry no longer owns; the next owner
 /// writes the status again.
 async fn write_status(shared: &Site, number: u64, done: bool) {
-    let (key, value) = wave_status(number, done);
+    let (key, value) = wave_status_row(number, done);
     while shared.owner.borrow().is_some() {
-        match shared.table.tell(&key, &value, CALL_TIMEOUT).await {
+        match shared.table.write_status(&key, &value, CALL_TIMEOUT).await {
             Ok(()) => return,
             Err(error) => log::warn!(event = "wave status"; "{error}"),
         }
--- a/crates/entry/src/site/ownership.rs
+++ b/crates/entry/src/site/ownership.rs
@@ -168,7 +168,7 @@
 /// that the feed has delivered stay in the mirror, since a read may lag seconds behind it.
 async fn read_all_rows(shared: &Site, until: u64) -> Option<u64> {
     loop {
-        match read_all(&shared.table, Space::Own).await {
+        match read_all(&shared.table, Space::System).await {
             Ok(all) => {
                 let mut mirror = shared.mirror.borrow_mut();
                 for change in &all.rows {
@@ -194,7 +194,7 @@
         reclaim_deadline: bounds.reclaim,
         fencing_interval: bounds.turn,
         maintenance_duration: bounds.maintenance,
-        lists_machines: shared.settings.machines.is_some(),
+        lists_machines: shared.settings.machines_address.is_some(),
         ..Settings::default()
     }
 }
@@ -202,7 +202,7 @@
 /// Reloads the settings file, after a signal or a change of the file. Changed addresses take
 /// effect at the next start.
 pub(crate) fn reload_settings(shared: &Site, path: &Path) {
-    let read = match platform::read(path) {
+    let read = match platform::read_settings(path) {
         Ok(read) => read,
         Err(error) => return log::warn!(event = "reload"; "{error}; keeping the previous settings"),
     };
--- a/crates/entry/src/site/state.rs
+++ b/crates/entry/src/site/state.rs
@@ -9,7 +9,7 @@
 };
 use quincewheel_job::{Config, Evacuation, Wave};
 use quincewheel_peer::Hub;
-use quincewheel_platform::{self as platform, Bounds, Skip, Table};
+use quincewheel_platform::{self as platform, Bounds, SkipHandler, Table};
 use quincewheel_store::Error;
 use quincewheel_wire::{LinkId, Sent};
 use tokio::sync::Notify;
@@ -39,7 +39,7 @@
 
 /// State of an entry.
 pub(crate) struct Site {
-    pub settings: platform::Site,
+    pub settings: platform::Settings,
     /// Time limits that the platform sets, as last loaded.
     pub bounds: Cell<Bounds>,
     pub incarnation: u64,
@@ -50,7 +50,7 @@
     pub gate: Arc<Gate>,
     pub metrics: Arc<Metrics>,
     /// Counts and logs entries of the platform's lists that cannot be read.
-    pub on_skipped: Skip,
+    pub on_skipped: SkipHandler,
     pub config: RefCell<Option<Config>>,
     /// When the call was sent by which the table last confirmed that the configuration is current.
     pub config_confirmed_at: Cell<u64>,
@@ -104,7 +104,7 @@
 
 impl Site {
     pub fn new(
-        settings: platform::Site,
+        settings: platform::Settings,
         incarnation: u64,
         hub: Hub<Sent>,
         gate: Arc<Gate>,
@@ -112,8 +112,8 @@
     ) -> Site {
         let on_skipped = skipped::handler(Arc::clone(&metrics));
         Site {
-            table: Table::open(&settings.table, Rc::clone(&on_skipped)),
-            feed: Table::open(&settings.table, Rc::clone(&on_skipped)),
+            table: Table::new(&settings.table_address, Rc::clone(&on_skipped)),
+            feed: Table::new(&settings.table_address, Rc::clone(&on_skipped)),
             on_skipped,
             election: RefCell::new(Election::new(
                 &settings.name,
