--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -129,11 +129,13 @@
 
     fn on_peer_event(&mut self, event: peer::Event<Frame>) {
         let input = match event {
-            peer::Event::Linked { link, hello, dialled } => Input::Linked { link, hello, dialled },
-            peer::Event::Unlinked { link } => Input::Unlinked { link },
+            peer::Event::Linked { link, hello, dialled } => {
+                Input::Connected { link, hello, dialled }
+            }
+            peer::Event::Unlinked { link } => Input::Disconnected { link },
             peer::Event::Undialled { address, error } => {
                 log::info!(step = "dial", peer = address.as_str(); "{error}");
-                Input::Undialled { address }
+                Input::DialFailed { address }
             }
             peer::Event::Frame { link, frame } => Input::Frame { link, frame },
         };
@@ -179,7 +181,7 @@
             }
             Output::Dial { address } => {
                 if !self.hub.ask(peer::Command::Dial { address: address.clone() }) {
-                    self.node.handle(self.now(), Input::Undialled { address });
+                    self.node.handle(self.now(), Input::DialFailed { address });
                 }
             }
             Output::Close { link, reason } => {
@@ -203,7 +205,7 @@
     /// not lose single frames.
     fn close_overflowing(&mut self, link: u64) {
         log::warn!(step = "send", peer = link; "send queue full; closing the connection");
-        self.node.handle(self.now(), Input::Unlinked { link });
+        self.node.handle(self.now(), Input::Disconnected { link });
         self.hub.ask(peer::Command::Close { link, reason: "send queue full" });
     }
 
--- a/crates/shard/src/input.rs
+++ b/crates/shard/src/input.rs
@@ -19,7 +19,7 @@
         call: u64,
     },
     /// A connection was authenticated.
-    Linked {
+    Connected {
         /// Id of the connection within this process.
         link: LinkId,
         /// The other end's role, name and incarnation.
@@ -28,12 +28,12 @@
         dialled: String,
     },
     /// A connection was closed.
-    Unlinked {
+    Disconnected {
         /// Id of the connection.
         link: LinkId,
     },
     /// A dial failed.
-    Undialled {
+    DialFailed {
         /// The address that was dialled.
         address: String,
     },
--- a/crates/shard/src/node.rs
+++ b/crates/shard/src/node.rs
@@ -44,17 +44,17 @@
             Input::Call { call, key_digest, ask } => self.on_call(call, &key_digest, ask),
             Input::Hangup { call } => self.on_hangup(call),
             Input::Drain => self.on_drain(),
-            Input::Linked { link, hello, dialled } => match &mut self.role {
+            Input::Connected { link, hello, dialled } => match &mut self.role {
                 Role::Follower(follower) => {
                     follower.on_connected(&mut self.cx, link, &hello, &dialled)
                 }
                 Role::Owner(owner) => owner.on_connected(&mut self.cx, link, &hello),
             },
-            Input::Unlinked { link } => match &mut self.role {
+            Input::Disconnected { link } => match &mut self.role {
                 Role::Follower(follower) => follower.on_disconnected(&mut self.cx, link),
                 Role::Owner(owner) => owner.on_disconnected(&mut self.cx, link),
             },
-            Input::Undialled { address } => {
+            Input::DialFailed { address } => {
                 if let Role::Follower(follower) = &mut self.role {
                     follower.on_dial_failed(&address);
                 }
--- a/tests/bed/links.rs
+++ b/tests/bed/links.rs
@@ -53,7 +53,7 @@
         if !reached {
             let address = address.to_owned();
             let delivery = match from {
-                Who::Entry(_) => Delivery::Entry(shard::Input::Undialled { address }),
+                Who::Entry(_) => Delivery::Entry(shard::Input::DialFailed { address }),
                 Who::Agent(_) => Delivery::Agent(grant::Input::DialFailed { address }),
             };
             self.push(secs(1), from, delivery, None);
@@ -73,7 +73,7 @@
         };
         let hello = Hello { role, name: label(other), incarnation: self.incarnation(other) };
         let delivery = match at {
-            Who::Entry(_) => Delivery::Entry(shard::Input::Linked { link, hello, dialled }),
+            Who::Entry(_) => Delivery::Entry(shard::Input::Connected { link, hello, dialled }),
             Who::Agent(_) => Delivery::Agent(grant::Input::Connected { link, hello, dialled }),
         };
         self.push(DELAY, at, delivery, Some(link));
@@ -86,7 +86,7 @@
                 continue;
             }
             let delivery = match end {
-                Who::Entry(_) => Delivery::Entry(shard::Input::Unlinked { link }),
+                Who::Entry(_) => Delivery::Entry(shard::Input::Disconnected { link }),
                 Who::Agent(_) => Delivery::Agent(grant::Input::Disconnected { link }),
             };
             self.push(DELAY, end, delivery, None);
