--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/blame.rs
@@ -55,9 +55,9 @@
         entries.flat_map(|workers| workers.values().copied()).filter(|until| *until > now).min()
     }
 
-    /// The places of workers that the candidate avoids because its tasks failed there. Bounded, so
-    /// that some places stay open.
-    pub(crate) fn avoided_places(
+    /// Returns the indexes of workers that the candidate avoids because its tasks failed there.
+    /// Bounded, so that some workers stay open.
+    pub(crate) fn avoided_indexes(
         &self,
         candidate: &Candidate,
         snapshot: &Snapshot,
@@ -74,11 +74,11 @@
         let avoided = slots.filter_map(|slot| entry.avoided_workers.get(&slot)).flatten();
         let workers: BTreeSet<&Incarnation> =
             avoided.filter(|(_, until)| now < **until).map(|(worker, _)| worker).collect();
-        let places = snapshot.spots.iter().enumerate();
-        let avoided: Vec<usize> = places
-            .filter(|(_, spot)| workers.contains(&spot.incarnation))
-            .map(|(at, _)| at)
+        let indexed = snapshot.workers.iter().enumerate();
+        let avoided: Vec<usize> = indexed
+            .filter(|(_, worker)| workers.contains(&worker.incarnation))
+            .map(|(index, _)| index)
             .collect();
-        limit_avoided(avoided, snapshot.spots.len())
+        limit_avoided(avoided, snapshot.workers.len())
     }
 }
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -38,7 +38,7 @@
             self.start_candidate(candidate, &mut snapshot, now, wall);
         }
         // No event marks the moment at which a suspected task has survived its start.
-        if snapshot.recent_starts.values().any(|fresh| *fresh == RecentStart::Suspect) {
+        if snapshot.recent_starts.values().any(|start| *start == RecentStart::Suspect) {
             self.schedule_replan(wall + START_ISOLATION_MS);
         }
         self.record_held_back(now, wall);
@@ -104,9 +104,10 @@
 
     /// Returns whether room is reserved for the candidate under its team's guarantee.
     fn has_reserved_guarantee(&self, candidate: &Candidate) -> bool {
-        let place = (candidate.occurrence, candidate.step);
+        let step_key = (candidate.occurrence, candidate.step);
         let entry = self.jobs.get(&candidate.id);
-        candidate.guaranteed() && entry.is_some_and(|entry| entry.reservations.contains_key(&place))
+        candidate.guaranteed()
+            && entry.is_some_and(|entry| entry.reservations.contains_key(&step_key))
     }
 
     /// Returns the total capacity of the workers of each pool.
@@ -125,8 +126,8 @@
     /// majority of agents is connected to it. So this also notes when a majority first follows
     /// this owner, since the previous owner stops soon after.
     pub(crate) fn check_settled(&mut self, now: u64) -> bool {
-        let heard = self.agents.values().filter(|agent| agent.reconciled).count();
-        if self.majority_since.is_none() && heard * 2 >= self.agents.len() {
+        let reconciled = self.agents.values().filter(|agent| agent.reconciled).count();
+        if self.majority_since.is_none() && reconciled * 2 >= self.agents.len() {
             self.majority_since = Some(now);
         }
         let (last, lease) = self.predecessor_grants();
@@ -177,14 +178,14 @@
         wall: u64,
     ) {
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
-        let place = (candidate.occurrence, candidate.step);
-        if let Some(reservation) = entry.reservations.get(&place).cloned() {
+        let step_key = (candidate.occurrence, candidate.step);
+        if let Some(reservation) = entry.reservations.get(&step_key).cloned() {
             if self.use_reservation(candidate, &reservation, snapshot, now) {
                 self.record_reserved_wait(candidate, now);
                 return;
             }
             if let Some(entry) = self.jobs.get_mut(&candidate.id) {
-                entry.reservations.remove(&place);
+                entry.reservations.remove(&step_key);
             }
         }
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
@@ -192,15 +193,23 @@
         let pool = self.pool_of(entry);
         let excluded = Exclusions {
             uncleared: self.uncleared(candidate, snapshot, now),
-            avoided: self.avoided_places(candidate, snapshot, now),
-            apart: self.excluded_places(candidate, snapshot),
+            avoided: self.avoided_indexes(candidate, snapshot, now),
+            apart: self.excluded_indexes(candidate, snapshot),
         };
-        let places = excluded.places();
-        let spared = match candidate.suspect {
-            true => self.place_suspect(candidate, (&step, &pool), (snapshot, &places), (now, wall)),
-            false => {
-                self.place_elsewhere(candidate, (&step, &pool), (snapshot, &places), (now, wall))
-            }
+        let excluded_indexes = excluded.indexes();
+        let kept_free = match candidate.suspect {
+            true => self.place_suspect(
+                candidate,
+                (&step, &pool),
+                (snapshot, &excluded_indexes),
+                (now, wall),
+            ),
+            false => self.place_excluding(
+                candidate,
+                (&step, &pool),
+                (snapshot, &excluded_indexes),
+                (now, wall),
+            ),
         };
         if self.unplaced_tasks(candidate) == 0 {
             return;
@@ -215,13 +224,13 @@
                 now,
             );
         }
-        let restrictions = snapshot.restrictions(&spared, &excluded);
+        let restrictions = snapshot.restrictions(&kept_free, &excluded);
         self.record_wait(candidate, snapshot, &restrictions, now);
     }
 
     /// Starts as many of a candidate's tasks as it can on workers other than those at the
-    /// `excluded` places. Returns the places that it leaves to other work.
-    pub(crate) fn place_elsewhere(
+    /// `excluded` indexes. Returns the indexes of workers that it keeps free for other work.
+    pub(crate) fn place_excluding(
         &mut self,
         candidate: &Candidate,
         (step, pool): (&Step, &str),
@@ -229,9 +238,9 @@
         time: (u64, u64),
     ) -> Vec<usize> {
         let hidden = snapshot.hide(excluded);
-        let spared = self.place(candidate, step, pool, snapshot, time);
+        let kept_free = self.place(candidate, step, pool, snapshot, time);
         snapshot.show(hidden);
-        spared
+        kept_free
     }
 
     /// Returns the number of the candidate's tasks that have not been placed.
@@ -241,7 +250,7 @@
         candidate.tasks.iter().filter(|&&index| !entry.runs.contains_key(&key(index))).count()
     }
 
-    /// Returns the places whose workers the step is not cleared for. Empty on a queue that needs
+    /// Returns the indexes of workers that the step is not cleared for. Empty on a queue that needs
     /// no clearance.
     fn uncleared(&self, candidate: &Candidate, snapshot: &Snapshot, now: u64) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
@@ -249,13 +258,14 @@
             return Vec::new();
         }
         let key = (candidate.occurrence, candidate.step, 0);
-        let cleared = |spot: &WorkerState| entry.ticket(key, &spot.incarnation, now).is_some();
-        let places = snapshot.spots.iter().enumerate();
-        places.filter(|(_, spot)| !cleared(spot)).map(|(place, _)| place).collect()
+        let cleared = |worker: &WorkerState| entry.ticket(key, &worker.incarnation, now).is_some();
+        let workers = snapshot.workers.iter().enumerate();
+        workers.filter(|(_, worker)| !cleared(worker)).map(|(index, _)| index).collect()
     }
 
     /// Starts as many of a candidate's tasks as it can on the workers that are not hidden, and
-    /// makes room for the others there if it may. Returns the places that it leaves to other work.
+    /// makes room for the others there if it may. Returns the indexes of workers that it keeps free
+    /// for other work.
     fn place(
         &mut self,
         candidate: &Candidate,
@@ -265,43 +275,44 @@
         (now, wall): (u64, u64),
     ) -> Vec<usize> {
         let Some(entry) = self.jobs.get(&candidate.id) else { return Vec::new() };
-        let held = tasks_per_worker(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
+        let tasks_by_worker =
+            tasks_per_worker(entry, (candidate.occurrence, candidate.step), &snapshot.workers);
         let count = candidate.tasks.len() as u32;
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
-        let patient = wall < begin + SINGLE_RACK_WAIT_MS;
+        let waits_for_rack = wall < begin + SINGLE_RACK_WAIT_MS;
         let request = Request {
             step,
             pool,
             count,
-            waits_for_rack: patient,
+            waits_for_rack,
             preempts: Protection::Lower,
             ignores_ending: false,
-            tasks_by_worker: &held,
+            tasks_by_worker: &tasks_by_worker,
         };
         let deferred_until =
-            self.deferred_until(candidate, is_half_free(&snapshot.spots, pool), (now, wall));
-        let spared = deferred_until
-            .map(|_| reserve_whole_workers(&mut snapshot.spots, pool))
+            self.deferred_until(candidate, is_half_free(&snapshot.workers, pool), (now, wall));
+        let kept_free = deferred_until
+            .map(|_| reserve_whole_workers(&mut snapshot.workers, pool))
             .unwrap_or_default();
-        let choices = pack(&snapshot.spots, &request);
-        let spared = release_whole_workers(&mut snapshot.spots, spared);
-        let started = choices.len();
+        let chosen = pack(&snapshot.workers, &request);
+        let kept_free = release_whole_workers(&mut snapshot.workers, kept_free);
+        let started = chosen.len();
         if started < candidate.tasks.len() {
-            // At these times the candidate may use places that it leaves to other work now.
-            let patience = Some(begin + SINGLE_RACK_WAIT_MS).filter(|_| patient);
-            for at in [deferred_until, patience].into_iter().flatten() {
+            // At these times the candidate may use workers that it keeps free for other work now.
+            let rack_wait_ends_at = Some(begin + SINGLE_RACK_WAIT_MS).filter(|_| waits_for_rack);
+            for at in [deferred_until, rack_wait_ends_at].into_iter().flatten() {
                 self.schedule_replan(at);
             }
         }
         let pairs: Vec<(u32, usize)> =
-            candidate.tasks.iter().copied().zip(choices.iter().copied()).collect();
+            candidate.tasks.iter().copied().zip(chosen.iter().copied()).collect();
         self.start_tasks(candidate, step, &pairs, snapshot, now);
         // Nothing is stopped for a task that may crash the worker that it is given.
-        let takes = candidate.rank.may_preempt() && !candidate.suspect;
-        if takes && started < candidate.tasks.len() {
+        let may_preempt = candidate.rank.may_preempt() && !candidate.suspect;
+        if may_preempt && started < candidate.tasks.len() {
             self.make_room(candidate, step, pool, started, snapshot, (now, wall));
         }
-        spared
+        kept_free
     }
 
     /// Returns until when the candidate leaves whole workers to more urgent work, in milliseconds
@@ -337,7 +348,8 @@
         queue.unwrap_or(&entry.job.queue).pool.clone()
     }
 
-    /// Orders the start of tasks on the chosen workers. `pairs` holds task indexes and places.
+    /// Orders the start of tasks on the chosen workers. `pairs` holds the index of each task and that
+    /// of its worker in the snapshot.
     pub(crate) fn start_tasks(
         &mut self,
         candidate: &Candidate,
@@ -348,13 +360,14 @@
     ) {
         let need = step.resources();
         let gang_unit = self.next_unit;
-        for &(index, place) in pairs {
-            let spot = &mut snapshot.spots[place];
-            spot.free.subtract(&need);
-            snapshot.actual_free[place].subtract(&need);
-            let name = spot.name.clone();
-            let fresh = if candidate.suspect { RecentStart::Suspect } else { RecentStart::Any };
-            fresh.record(&mut snapshot.recent_starts, place);
+        for &(index, worker_index) in pairs {
+            let state = &mut snapshot.workers[worker_index];
+            state.free.subtract(&need);
+            snapshot.actual_free[worker_index].subtract(&need);
+            let name = state.name.clone();
+            let recent_start =
+                if candidate.suspect { RecentStart::Suspect } else { RecentStart::Any };
+            recent_start.record(&mut snapshot.recent_starts, worker_index);
             let Some(worker) = self.agents.get(&name).and_then(|agent| agent.worker.as_ref())
             else {
                 continue;
@@ -431,37 +444,37 @@
     (0..step.count).filter(open).collect()
 }
 
-/// Returns the workers at these places that could run a step, those with the most free
+/// Returns the workers at these indexes that could run a step, those with the most free
 /// accelerators first.
 fn most_free(
-    places: &[usize],
+    indexes: &[usize],
     snapshot: &Snapshot,
     pool: &str,
     label: &String,
 ) -> Vec<Incarnation> {
-    let fits = |spot: &&WorkerState| {
-        spot.pool == pool && (label.is_empty() || spot.labels.contains(label))
+    let fits = |worker: &&WorkerState| {
+        worker.pool == pool && (label.is_empty() || worker.labels.contains(label))
     };
-    let mut spots: Vec<&WorkerState> =
-        places.iter().map(|&place| &snapshot.spots[place]).filter(fits).collect();
-    spots.sort_by_key(|spot| std::cmp::Reverse(spot.free.accelerators));
-    spots.into_iter().map(|spot| spot.incarnation.clone()).collect()
+    let mut workers: Vec<&WorkerState> =
+        indexes.iter().map(|&index| &snapshot.workers[index]).filter(fits).collect();
+    workers.sort_by_key(|worker| std::cmp::Reverse(worker.free.accelerators));
+    workers.into_iter().map(|worker| worker.incarnation.clone()).collect()
 }
 
-/// Returns how many tasks of the step each worker runs, in the order of `spots`.
+/// Returns how many tasks of the step each worker runs, in the order of `workers`.
 pub(crate) fn tasks_per_worker(
     entry: &Entry,
     (occurrence, step): (u32, u32),
-    spots: &[WorkerState],
+    workers: &[WorkerState],
 ) -> Vec<u32> {
     let range = (occurrence, step, 0)..=(occurrence, step, u32::MAX);
-    let mut held = vec![0; spots.len()];
+    let mut tasks_by_worker = vec![0; workers.len()];
     for (_, placed) in entry.runs.range(range) {
-        if let Some(place) = spots.iter().position(|spot| spot.name == placed.agent) {
-            held[place] += 1;
+        if let Some(index) = workers.iter().position(|worker| worker.name == placed.agent) {
+            tasks_by_worker[index] += 1;
         }
     }
-    held
+    tasks_by_worker
 }
 
 /// How long a job of which nothing runs leaves whole workers to urgent work while half of the
--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -39,9 +39,9 @@
             return;
         }
         let snapshot = self.snapshot(now);
-        let restrictions = vec![Restriction::None; snapshot.spots.len()];
+        let restrictions = vec![Restriction::None; snapshot.workers.len()];
         for (group, wait) in waits {
-            let found = self.cause(&group, wait.tasks, &snapshot.spots, &restrictions);
+            let found = self.cause(&group, wait.tasks, &snapshot.workers, &restrictions);
             let changed =
                 |cause: &Cause| cause.is_lack_of_workers() || wait.cause.is_lack_of_workers();
             if let Some((cause, room)) = found.filter(|(cause, _)| changed(cause)) {
--- a/crates/dispatch/src/room.rs
+++ b/crates/dispatch/src/room.rs
@@ -27,57 +27,57 @@
         let Some(step) = entry.job.steps.get(candidate.step as usize).cloned() else {
             return false;
         };
-        let places: Vec<usize> = reservation
+        let indexes: Vec<usize> = reservation
             .agents
             .iter()
-            .filter_map(|name| snapshot.spots.iter().position(|spot| spot.name == *name))
+            .filter_map(|name| snapshot.workers.iter().position(|worker| worker.name == *name))
             .collect();
-        let cleared = |place: &usize| {
-            let worker = &snapshot.spots[*place].incarnation;
+        let cleared = |index: &usize| {
+            let worker = &snapshot.workers[*index].incarnation;
             let key = (candidate.occurrence, candidate.step, 0);
             entry.job.queue.advice.is_none() || entry.ticket(key, worker, now).is_some()
         };
         let until = reservation.made_at + self.settings.reservation_ttl;
-        // A reservation stays valid while its worker is in a pause after a refusal. If it were
+        // A reservation stays valid while its worker is in backoff after a refusal. If it were
         // void, work on yet another worker would be stopped as well.
-        let paused =
+        let backoff =
             |name: &String| self.agents.get(name).is_some_and(|agent| agent.refusals.until > 0);
-        let trial =
-            |place: &usize| snapshot.recent_starts.get(place) == Some(&RecentStart::Suspect);
-        if now < until && (reservation.agents.iter().any(paused) || places.iter().any(trial)) {
+        let suspect =
+            |index: &usize| snapshot.recent_starts.get(index) == Some(&RecentStart::Suspect);
+        if now < until && (reservation.agents.iter().any(backoff) || indexes.iter().any(suspect)) {
             self.track_reservation_end(until);
             return true;
         }
         let valid =
-            places.len() == candidate.tasks.len() && places.iter().all(cleared) && now < until;
+            indexes.len() == candidate.tasks.len() && indexes.iter().all(cleared) && now < until;
         if !valid {
             return false;
         }
         let need = step.resources();
-        let mut actual = snapshot.actual_free.clone();
-        let whole = places.iter().all(|&place| {
-            let fits = need.fits(&actual[place]);
-            actual[place].subtract(&need);
+        let mut actual_free = snapshot.actual_free.clone();
+        let fits_now = indexes.iter().all(|&index| {
+            let fits = need.fits(&actual_free[index]);
+            actual_free[index].subtract(&need);
             fits
         });
-        if !whole {
-            let mut spots = snapshot.spots.clone();
-            let promised = places.iter().all(|&place| {
-                let fits = need.fits(&spots[place].available_soon(false));
-                spots[place].reserve(&need);
+        if !fits_now {
+            let mut workers = snapshot.workers.clone();
+            let fits_soon = indexes.iter().all(|&index| {
+                let fits = need.fits(&workers[index].available_soon(false));
+                workers[index].reserve(&need);
                 fits
             });
             // Otherwise a candidate with a better rank has taken the room.
-            if promised {
-                snapshot.spots = spots;
+            if fits_soon {
+                snapshot.workers = workers;
                 self.track_reservation_end(until);
             }
-            return promised;
+            return fits_soon;
         }
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
             entry.reservations.remove(&(candidate.occurrence, candidate.step));
         }
-        let pairs: Vec<(u32, usize)> = candidate.tasks.iter().copied().zip(places).collect();
+        let pairs: Vec<(u32, usize)> = candidate.tasks.iter().copied().zip(indexes).collect();
         self.start_tasks(candidate, &step, &pairs, snapshot, now);
         true
     }
@@ -101,75 +101,81 @@
     ) {
         let rest = &candidate.tasks[started..];
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
-        let held = tasks_per_worker(entry, (candidate.occurrence, candidate.step), &snapshot.spots);
+        let tasks_by_worker =
+            tasks_per_worker(entry, (candidate.occurrence, candidate.step), &snapshot.workers);
         let begin = entry.job.schedule.map_or(entry.job.accepted, |s| s.due(candidate.occurrence));
-        let promised =
+        let borrowed_at =
             borrowed_reclaim_at(begin, self.settings.reclaim_deadline, self.settings.stop_timeout);
         let guaranteed = candidate.guaranteed();
-        let due = guaranteed && wall >= promised;
+        let due = guaranteed && wall >= borrowed_at;
         let count = rest.len() as u32;
-        let over = if due { Protection::Borrowed } else { Protection::Lower };
-        let ask = Request {
+        let preempts = if due { Protection::Borrowed } else { Protection::Lower };
+        let request = Request {
             step,
             pool,
             count,
             waits_for_rack: true,
-            preempts: over,
+            preempts,
             ignores_ending: guaranteed,
-            tasks_by_worker: &held,
+            tasks_by_worker: &tasks_by_worker,
         };
-        let last = guaranteed_reclaim_at(
+        let guaranteed_at = guaranteed_reclaim_at(
             begin,
             self.settings.reclaim_deadline,
             self.settings.stop_timeout,
         );
-        let claim = plan_preemption(&snapshot.spots, &ask).or_else(|| {
-            let others = Request { preempts: Protection::Guaranteed, ignores_ending: false, ..ask };
-            let pressing = due && wall >= last && !entry.has_begun;
-            pressing.then(|| plan_preemption(&snapshot.spots, &others)).flatten()
+        let preemption = plan_preemption(&snapshot.workers, &request).or_else(|| {
+            let including_guaranteed =
+                Request { preempts: Protection::Guaranteed, ignores_ending: false, ..request };
+            let may_preempt_guaranteed = due && wall >= guaranteed_at && !entry.has_begun;
+            may_preempt_guaranteed
+                .then(|| plan_preemption(&snapshot.workers, &including_guaranteed))
+                .flatten()
         });
-        let Some(claim) = claim else {
+        let Some(preemption) = preemption else {
             if guaranteed {
-                let next = [promised, last].into_iter().find(|at| *at > wall);
+                let next = [borrowed_at, guaranteed_at].into_iter().find(|at| *at > wall);
                 next.into_iter().for_each(|at| self.schedule_replan(at));
             }
             return;
         };
-        if !is_worth_preempting(claim.loss, candidate.work, guaranteed) {
+        if !is_worth_preempting(preemption.loss, candidate.work, guaranteed) {
             return;
         }
         let need = step.resources();
-        let firm: BTreeSet<u64> = (snapshot.spots.iter().flat_map(|spot| &spot.preemptible))
-            .filter(|holder| holder.protection == Protection::Guaranteed)
-            .map(|holder| holder.unit)
-            .collect();
-        for spot in &mut snapshot.spots {
+        let guaranteed_units: BTreeSet<u64> =
+            (snapshot.workers.iter().flat_map(|worker| &worker.preemptible))
+                .filter(|holder| holder.protection == Protection::Guaranteed)
+                .map(|holder| holder.unit)
+                .collect();
+        for worker in &mut snapshot.workers {
             for holder in
-                spot.preemptible.iter().filter(|holder| claim.victims.contains(&holder.unit))
+                worker.preemptible.iter().filter(|holder| preemption.victims.contains(&holder.unit))
             {
-                spot.stopping.add(&holder.need);
+                worker.stopping.add(&holder.need);
             }
-            spot.preemptible.retain(|holder| !claim.victims.contains(&holder.unit));
+            worker.preemptible.retain(|holder| !preemption.victims.contains(&holder.unit));
         }
-        for &place in &claim.workers {
-            snapshot.spots[place].reserve(&need);
+        for &index in &preemption.workers {
+            snapshot.workers[index].reserve(&need);
         }
         let agents =
-            claim.workers.iter().map(|&place| snapshot.spots[place].name.clone()).collect();
+            preemption.workers.iter().map(|&index| snapshot.workers[index].name.clone()).collect();
         let reservation = Reservation { agents, made_at: now };
         self.track_reservation_end(now + self.settings.reservation_ttl);
         if let Some(entry) = self.jobs.get_mut(&candidate.id) {
             entry.reservations.insert((candidate.occurrence, candidate.step), reservation);
         }
         let kind = if guaranteed { "guaranteed" } else { "borrowed" };
-        let (units, loss, work) = (claim.victims.len(), claim.loss / 1000, candidate.work / 1000);
+        let (units, loss, work) =
+            (preemption.victims.len(), preemption.loss / 1000, candidate.work / 1000);
         let detail = format!("{kind}: {units} units stop, losing {loss} core-s for {work}");
         self.log("room reclaimed", &candidate.id, detail);
-        for unit in claim.victims {
+        for unit in preemption.victims {
             for (id, key) in snapshot.units.get(&unit).cloned().unwrap_or_default() {
                 self.stop_run(&id, key, now);
                 let Some(entry) = self.jobs.get_mut(&id) else { continue };
-                entry.guarantee_preempted |= firm.contains(&unit);
+                entry.guarantee_preempted |= guaranteed_units.contains(&unit);
                 if let Some(placed) = entry.runs.get_mut(&key) {
                     placed.preempted_by = Some(candidate.id.clone());
                 }
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -30,8 +30,8 @@
 
     /// Records that a step waits for its reserved room. Returns false if it has none.
     pub(crate) fn record_reserved_wait(&mut self, candidate: &Candidate, now: u64) -> bool {
-        let place = (candidate.occurrence, candidate.step);
-        let reserved = |entry: &Entry| entry.reservations.contains_key(&place);
+        let step_key = (candidate.occurrence, candidate.step);
+        let reserved = |entry: &Entry| entry.reservations.contains_key(&step_key);
         if !self.jobs.get(&candidate.id).is_some_and(reserved) {
             return false;
         }
@@ -54,40 +54,40 @@
             return;
         }
         let key = group(candidate);
-        let Some((cause, room)) = self.cause(&key, left, &snapshot.spots, limits) else { return };
+        let Some((cause, room)) = self.cause(&key, left, &snapshot.workers, limits) else { return };
         self.waits.record(key, (left, cause), room, now);
     }
 
-    /// Returns why this number of tasks of a step does not start on the workers `spots`, how many
-    /// of them fit now, and how many would fit if nothing ran.
+    /// Returns why this number of tasks of a step does not start on `workers`, how many of
+    /// them fit now, and how many would fit if nothing ran.
     pub(crate) fn cause(
         &self,
         (id, occurrence, number): &StepKey,
         tasks: usize,
-        spots: &[WorkerState],
+        workers: &[WorkerState],
         restrictions: &[Restriction],
     ) -> Option<(Cause, (u64, u64))> {
         let entry = self.jobs.get(id)?;
         let step = entry.job.steps.get(*number as usize)?;
         let pool = &self.pool_of(entry);
-        let held = match entry.has_runs(*occurrence, *number) {
-            true => &tasks_per_worker(entry, (*occurrence, *number), spots)[..],
+        let tasks_by_worker = match entry.has_runs(*occurrence, *number) {
+            true => &tasks_per_worker(entry, (*occurrence, *number), workers)[..],
             false => &[],
         };
         let count = tasks as u32;
-        let ask = Request {
+        let request = Request {
             step,
             pool,
             count,
             waits_for_rack: true,
             preempts: Protection::Lower,
             ignores_ending: false,
-            tasks_by_worker: held,
+            tasks_by_worker,
         };
-        let tally = Tally::count(spots, restrictions, &ask);
+        let tally = Tally::count(workers, restrictions, &request);
         let unconfigured = entry.job.queue.priority == 0 && self.config.version == 0;
         let cause = match tally.cause() {
-            Cause::Few => self.closed_or_too_few(&ask, &tally),
+            Cause::Few => self.closed_or_too_few(&request, &tally),
             Cause::Room if unconfigured => Cause::Unconfigured,
             cause => cause,
         };
@@ -141,14 +141,15 @@
     /// Drops the waits of unsettled steps that have turned out to run. Returns how many steps are
     /// still unsettled.
     pub(crate) fn prune_held_back(&mut self, wall: u64) -> usize {
-        let held: BTreeSet<StepKey> = self
+        let held_back: BTreeSet<StepKey> = self
             .held_back(wall)
             .into_iter()
             .filter(|(_, (_, cause))| *cause == Cause::Unsettled)
             .map(|(group, _)| group)
             .collect();
-        self.waits.retain(|group, wait| wait.cause != Cause::Unsettled || held.contains(group));
-        held.len()
+        self.waits
+            .retain(|group, wait| wait.cause != Cause::Unsettled || held_back.contains(group));
+        held_back.len()
     }
 
     /// Returns steps that wait because a previous owner may have started them, or because runs of
@@ -177,16 +178,16 @@
     }
 
     /// Returns why the open workers could not hold the tasks even if nothing else ran.
-    fn closed_or_too_few(&self, ask: &Request<'_>, tally: &Tally<'_>) -> Cause {
-        let label = &ask.step.label;
+    fn closed_or_too_few(&self, request: &Request<'_>, tally: &Tally<'_>) -> Cause {
+        let label = &request.step.label;
         let pool = || {
             let known = self.agents.values().filter(|agent| agent.worker.is_some());
-            known.filter(|agent| agent.worker.as_ref().is_some_and(|w| w.pool == ask.pool))
+            known.filter(|agent| agent.worker.as_ref().is_some_and(|w| w.pool == request.pool))
         };
         let labelled = |worker: &&Worker| label.is_empty() || worker.labels.contains(label);
-        let shut = pool().filter(|agent| !agent.accepts_runs(&self.settings, self.now));
-        let shut = shut.filter_map(|agent| agent.worker.as_ref()).filter(labelled);
-        let more = shut.map(|worker| ask.max_tasks(usize::MAX, &worker.capacity)).sum();
+        let closed = pool().filter(|agent| !agent.accepts_runs(&self.settings, self.now));
+        let closed = closed.filter_map(|agent| agent.worker.as_ref()).filter(labelled);
+        let more = closed.map(|worker| request.max_tasks(usize::MAX, &worker.capacity)).sum();
         if pool().next().is_none() {
             return Cause::Pool;
         }
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -17,16 +17,16 @@
 /// planning updates it as it places tasks.
 pub(crate) struct Snapshot {
     /// The workers that accept runs.
-    pub spots: Vec<WorkerState>,
+    pub workers: Vec<WorkerState>,
     /// Free capacity of each worker, reservations not deducted.
     pub actual_free: Vec<Resources>,
     /// The runs of each unit. A unit can only be stopped as a whole.
     pub units: BTreeMap<u64, Vec<(Id, Key)>>,
-    /// Workers that have just started a task, by place.
+    /// Workers that have just started a task, by index in `workers`.
     pub recent_starts: BTreeMap<usize, RecentStart>,
 }
 
-/// Places that a step must not use, by reason.
+/// Indexes of workers that a step must not use, by reason.
 #[derive(Debug, Default)]
 pub(crate) struct Exclusions {
     /// The step is not cleared for the workers.
@@ -38,54 +38,54 @@
 }
 
 impl Exclusions {
-    /// Returns all excluded places, sorted and without duplicates.
-    pub fn places(&self) -> Vec<usize> {
-        let mut places = [&self.uncleared[..], &self.avoided, &self.apart].concat();
-        places.sort_unstable();
-        places.dedup();
-        places
+    /// Returns all excluded indexes, sorted and without duplicates.
+    pub fn indexes(&self) -> Vec<usize> {
+        let mut indexes = [&self.uncleared[..], &self.avoided, &self.apart].concat();
+        indexes.sort_unstable();
+        indexes.dedup();
+        indexes
     }
 }
 
 impl Snapshot {
-    /// Takes the workers at these places out, so that nothing fits there, and returns them.
-    pub fn hide(&mut self, places: &[usize]) -> Vec<(usize, WorkerState)> {
-        places.iter().map(|&place| (place, std::mem::take(&mut self.spots[place]))).collect()
+    /// Takes the workers at these indexes out, so that nothing fits there, and returns them.
+    pub fn hide(&mut self, indexes: &[usize]) -> Vec<(usize, WorkerState)> {
+        indexes.iter().map(|&index| (index, std::mem::take(&mut self.workers[index]))).collect()
     }
 
     /// Puts back the workers that [`Snapshot::hide`] returned.
     pub fn show(&mut self, hidden: Vec<(usize, WorkerState)>) {
-        for (place, spot) in hidden {
-            self.spots[place] = spot;
+        for (index, worker) in hidden {
+            self.workers[index] = worker;
         }
     }
 
-    /// Returns all places, those with the fewest accelerators and CPUs in use first.
+    /// Returns the indexes of all workers, those with the fewest accelerators and CPUs in use first.
     pub fn least_used(&self) -> Vec<usize> {
-        let used = |place: &usize| {
-            let (spot, free) = (&self.spots[*place], self.spots[*place].free);
-            let accelerators = spot.capacity.accelerators - free.accelerators;
-            (accelerators, spot.capacity.cpu - free.cpu)
+        let used = |index: &usize| {
+            let (worker, free) = (&self.workers[*index], self.workers[*index].free);
+            let accelerators = worker.capacity.accelerators - free.accelerators;
+            (accelerators, worker.capacity.cpu - free.cpu)
         };
-        let mut places: Vec<usize> = (0..self.spots.len()).collect();
-        places.sort_by_key(used);
-        places
+        let mut indexes: Vec<usize> = (0..self.workers.len()).collect();
+        indexes.sort_by_key(used);
+        indexes
     }
 
-    /// Returns the restriction that applies to a step at each place; empty if there is none at all.
-    pub fn restrictions(&self, spared: &[usize], excluded: &Exclusions) -> Vec<Restriction> {
+    /// Returns the restriction that applies to a step at each worker; empty if there is none at all.
+    pub fn restrictions(&self, kept_free: &[usize], excluded: &Exclusions) -> Vec<Restriction> {
         let kinds = [
-            (spared, Restriction::Spared),
+            (kept_free, Restriction::Spared),
             (&excluded.uncleared, Restriction::Uncleared),
             (&excluded.avoided, Restriction::Avoided),
             (&excluded.apart, Restriction::Apart),
         ];
-        if kinds.iter().all(|(places, _)| places.is_empty()) {
+        if kinds.iter().all(|(indexes, _)| indexes.is_empty()) {
             return Vec::new();
         }
-        let mut restrictions = vec![Restriction::None; self.spots.len()];
-        for (places, restriction) in kinds {
-            places.iter().for_each(|&place| restrictions[place] = restriction);
+        let mut restrictions = vec![Restriction::None; self.workers.len()];
+        for (indexes, restriction) in kinds {
+            indexes.iter().for_each(|&index| restrictions[index] = restriction);
         }
         restrictions
     }
@@ -94,16 +94,16 @@
 impl Owner {
     /// Takes a snapshot of the open workers and the runs on them.
     pub(crate) fn snapshot(&self, now: u64) -> Snapshot {
-        let mut spots: Vec<WorkerState> = Vec::new();
-        let mut places: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut workers: Vec<WorkerState> = Vec::new();
+        let mut index_by_agent: BTreeMap<&str, usize> = BTreeMap::new();
         for (name, agent) in &self.agents {
             let Some(worker) =
                 agent.worker.as_ref().filter(|_| agent.accepts_runs(&self.settings, now))
             else {
                 continue;
             };
-            places.insert(name, spots.len());
-            spots.push(WorkerState {
+            index_by_agent.insert(name, workers.len());
+            workers.push(WorkerState {
                 name: name.clone(),
                 incarnation: worker.incarnation(),
                 pool: worker.pool.clone(),
@@ -121,47 +121,47 @@
         let borrowed = self.borrowed_units();
         let mut taken = BTreeMap::new();
         let mut units: BTreeMap<u64, Vec<(Id, Key)>> = BTreeMap::new();
-        let mut fresh: BTreeMap<usize, RecentStart> = BTreeMap::new();
+        let mut recent_starts: BTreeMap<usize, RecentStart> = BTreeMap::new();
         for (id, entry) in &self.jobs {
             for (key, placed) in &entry.runs {
                 let Some(step) = entry.step(*key) else { continue };
                 units.entry(placed.unit).or_default().push((id.clone(), *key));
-                let Some(&place) = places.get(placed.agent.as_str()) else { continue };
+                let Some(&index) = index_by_agent.get(placed.agent.as_str()) else { continue };
                 let need = step.resources();
-                spots[place].free.subtract(&need);
+                workers[index].free.subtract(&need);
                 if let Some(started) = RecentStart::of(id, entry, *key, placed, now) {
-                    started.record(&mut fresh, place);
+                    started.record(&mut recent_starts, index);
                 }
-                let hold = match entry.job.queue.priority {
+                let protection = match entry.job.queue.priority {
                     0 if !borrowed.contains(&placed.unit) => Protection::Guaranteed,
                     0 => Protection::Borrowed,
                     _ => Protection::Lower,
                 };
                 // Guaranteed work is preempted only once. Otherwise jobs could preempt each
                 // other in turn, so that all begin and none ends.
-                let yields = hold != Protection::Guaranteed
+                let yields = protection != Protection::Guaranteed
                     || (entry.has_begun && !entry.guarantee_preempted);
                 let ending = !step.perpetual && entry.unit_ends_soon(placed, &self.settings, now);
                 if ending {
-                    spots[place].ending.add(&need);
+                    workers[index].ending.add(&need);
                 }
                 if placed.phase == Phase::Stopping {
-                    spots[place].stopping.add(&need);
+                    workers[index].stopping.add(&need);
                 } else if yields && self.may_be_stopped(id, *key, &mut taken) {
                     let loss = preemption_loss(step, now.saturating_sub(placed.started_at));
                     let unit = placed.unit;
-                    spots[place].preemptible.push(Preemptible {
+                    workers[index].preemptible.push(Preemptible {
                         unit,
                         need,
-                        protection: hold,
+                        protection,
                         loss,
                         ending,
                     });
                 }
             }
         }
-        let actual = spots.iter().map(|spot| spot.free).collect();
-        Snapshot { spots, actual_free: actual, units, recent_starts: fresh }
+        let actual_free = workers.iter().map(|worker| worker.free).collect();
+        Snapshot { workers, actual_free, units, recent_starts }
     }
 
     /// Returns a worker's capacity less that of its stray runs, which occupy it until they have
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -180,36 +180,41 @@
     }
 
     /// Places a suspect where a crash loses the least work: on as few of the least used workers
-    /// as can hold it. Returns the places that it spares for other work.
+    /// as can hold it. Returns the indexes of workers that it keeps free for other work.
     pub(crate) fn place_suspect(
         &mut self,
         candidate: &Candidate,
         (step, pool): (&Step, &str),
-        (snapshot, barred): (&mut Snapshot, &[usize]),
+        (snapshot, excluded): (&mut Snapshot, &[usize]),
         time: (u64, u64),
     ) -> Vec<usize> {
         let mut order = snapshot.least_used();
-        order.retain(|place| !barred.contains(place));
-        let mut workers = 1;
+        order.retain(|index| !excluded.contains(index));
+        let mut worker_count = 1;
         loop {
-            let open: BTreeSet<usize> = order.iter().take(workers).copied().collect();
+            let open: BTreeSet<usize> = order.iter().take(worker_count).copied().collect();
             let closed: Vec<usize> =
-                (0..snapshot.spots.len()).filter(|place| !open.contains(place)).collect();
-            let spared = self.place_elsewhere(candidate, (step, pool), (snapshot, &closed), time);
-            if self.unplaced_tasks(candidate) == 0 || workers >= order.len() {
-                return spared;
+                (0..snapshot.workers.len()).filter(|index| !open.contains(index)).collect();
+            let kept_free =
+                self.place_excluding(candidate, (step, pool), (snapshot, &closed), time);
+            if self.unplaced_tasks(candidate) == 0 || worker_count >= order.len() {
+                return kept_free;
             }
-            workers *= 2;
+            worker_count *= 2;
         }
     }
 
-    /// The places where a candidate must not start now, so that a crash can be attributed to one
-    /// task: for a suspect all places with a recent start, for others those with a recent start
-    /// of a suspect.
-    pub(crate) fn excluded_places(&self, candidate: &Candidate, snapshot: &Snapshot) -> Vec<usize> {
-        let excluded = |fresh: RecentStart| candidate.suspect || fresh == RecentStart::Suspect;
-        let fresh = snapshot.recent_starts.iter().filter(|(_, fresh)| excluded(**fresh));
-        fresh.map(|(place, _)| *place).collect()
+    /// Returns the indexes of workers where a candidate must not start now, so that a crash can be
+    /// attributed to one task: for a suspect all workers with a recent start, for others those
+    /// with a recent start of a suspect.
+    pub(crate) fn excluded_indexes(
+        &self,
+        candidate: &Candidate,
+        snapshot: &Snapshot,
+    ) -> Vec<usize> {
+        let excluded = |start: RecentStart| candidate.suspect || start == RecentStart::Suspect;
+        let recent = snapshot.recent_starts.iter().filter(|(_, start)| excluded(**start));
+        recent.map(|(index, _)| *index).collect()
     }
 }
 
@@ -223,9 +228,9 @@
 }
 
 impl RecentStart {
-    /// Records a start at a place. A suspect takes precedence.
-    pub fn record(self, fresh: &mut BTreeMap<usize, RecentStart>, place: usize) {
-        let known = fresh.entry(place).or_insert(self);
+    /// Records a start at the worker with this index. A suspect takes precedence.
+    pub fn record(self, recent_starts: &mut BTreeMap<usize, RecentStart>, index: usize) {
+        let known = recent_starts.entry(index).or_insert(self);
         *known = self.max(*known);
     }
 
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -52,31 +52,33 @@
     /// of a step that is not a gang, so the pass ends once enough workers are counted for
     /// [`Sums::whole`].
     pub fn count(
-        spots: &'a [WorkerState],
+        workers: &'a [WorkerState],
         restrictions: &[Restriction],
-        ask: &Request<'_>,
+        request: &Request<'_>,
     ) -> Tally<'a> {
         let mut tally = Tally {
-            count: u64::from(ask.count),
-            gang: ask.step.gang,
-            same_rack: ask.step.gang && ask.step.same_rack && ask.count > 1,
+            count: u64::from(request.count),
+            gang: request.step.gang,
+            same_rack: request.step.gang && request.step.same_rack && request.count > 1,
             ..Tally::default()
         };
-        let need = ask.step.resources();
-        for (place, spot) in spots.iter().enumerate().filter(|(_, spot)| ask.is_eligible(spot)) {
+        let need = request.step.resources();
+        for (index, worker) in
+            workers.iter().enumerate().filter(|(_, worker)| request.is_eligible(worker))
+        {
             // Saves divisions: most workers of a full pool have no room left, and the first few
             // would hold all tasks if they were empty.
-            let fits = need.fits(&spot.free);
-            let free = if fits { ask.max_tasks(place, &spot.free) } else { 0 };
+            let fits = need.fits(&worker.free);
+            let free = if fits { request.max_tasks(index, &worker.free) } else { 0 };
             let known = !tally.same_rack && tally.all.whole >= tally.count;
             if known && restrictions.is_empty() && !tally.gang {
                 break;
             }
-            let whole = if known { 0 } else { ask.max_tasks(place, &spot.capacity) };
-            let restriction = restrictions.get(place).copied().unwrap_or(Restriction::None);
+            let whole = if known { 0 } else { request.max_tasks(index, &worker.capacity) };
+            let restriction = restrictions.get(index).copied().unwrap_or(Restriction::None);
             tally.all.add(restriction, free, whole);
             if tally.same_rack {
-                let rack = tally.racks.entry(&spot.rack).or_default();
+                let rack = tally.racks.entry(&worker.rack).or_default();
                 rack.add(restriction, free, whole);
             }
         }
