--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -37,10 +37,10 @@
     /// responds.
     pub unresponsive_since: Option<u64>,
     /// Failures of tasks that count against the worker.
-    pub blame: Quarantine,
+    pub quarantine: Quarantine,
     /// The starts just before the worker broke its connections, if it has not answered since.
     /// Should the worker turn out to have ended, one of them has crashed it.
-    pub crash: Option<SuspectedCrash>,
+    pub suspected_crash: Option<SuspectedCrash>,
     /// Starts that the worker has refused recently.
     pub refusals: Refusals,
     /// Whether the worker has ended, and no other has reported since.
--- a/crates/dispatch/src/clearance.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -107,7 +107,7 @@
         sent: u64,
         now: u64,
     ) {
-        self.advice_pending = false;
+        self.clearance_pending = false;
         self.replan = true;
         let Some(entry) = self.jobs.get_mut(&request.job) else { return };
         let clearance = entry.clearances.entry((request.occurrence, request.step)).or_default();
@@ -119,7 +119,7 @@
             }
             None => {
                 clearance.retry_at = now + RETRY_DELAY_MS;
-                self.advice_retry_at = Some(now + RETRY_DELAY_MS);
+                self.clearance_retry_at = Some(now + RETRY_DELAY_MS);
                 self.log("not cleared", &request.job, "no answer".to_owned());
             }
         }
@@ -133,20 +133,20 @@
         workers: Vec<Incarnation>,
         now: u64,
     ) {
-        if self.advice_pending {
+        if self.clearance_pending {
             return;
         }
         let Some(entry) = self.jobs.get_mut(&candidate.id) else { return };
-        let step_key = (candidate.occurrence, candidate.step);
-        let clearance = entry.clearances.entry(step_key).or_default();
+        let occurrence_step = (candidate.occurrence, candidate.step);
+        let clearance = entry.clearances.entry(occurrence_step).or_default();
         let unknown = workers.into_iter().filter(|worker| clearance.needs_request(worker, now));
         let workers: Vec<Incarnation> = unknown.take(MAX_WORKERS).collect();
         if workers.is_empty() {
             return;
         }
-        let (job, (occurrence, step)) = (candidate.id.clone(), step_key);
+        let (job, (occurrence, step)) = (candidate.id.clone(), occurrence_step);
         let request = ClearanceRequest { job, occurrence, step, workers };
-        self.advice_pending = true;
+        self.clearance_pending = true;
         self.outputs.push(Output::RequestClearance { request });
     }
 }
--- a/crates/dispatch/src/detail.rs
+++ b/crates/dispatch/src/detail.rs
@@ -13,11 +13,11 @@
 
 impl Owner {
     /// Formats what an operator should check, depending on the cause of the wait.
-    pub(crate) fn wait_detail(&self, group: &StepKey, wait: &Wait, now: u64) -> String {
-        let Some(entry) = self.jobs.get(&group.0) else { return String::new() };
+    pub(crate) fn wait_detail(&self, step_key: &StepKey, wait: &Wait, now: u64) -> String {
+        let Some(entry) = self.jobs.get(&step_key.0) else { return String::new() };
         let (room, whole) = wait.room;
         let room = format!("room for {room} of {}, for {whole} if nothing ran", wait.tasks);
-        let label = entry.job.steps.get(group.2 as usize).map_or("", |step| &step.label);
+        let label = entry.job.steps.get(step_key.2 as usize).map_or("", |step| &step.label);
         let closed = self.closed_workers(&self.pool_of(entry), label);
         let not_open = match closed.is_empty() {
             true => String::new(),
@@ -25,7 +25,7 @@
         };
         match wait.cause {
             Cause::Unsettled => String::new(),
-            Cause::Remains => format!("at {}", list(remains(entry, group))),
+            Cause::Remains => format!("at {}", list(remains(entry, step_key))),
             Cause::Unconfigured => format!("nothing is guaranteed yet; {room}{not_open}"),
             Cause::Pool => self.pool_of(entry),
             Cause::Label => format!("{label} in pool {}", self.pool_of(entry)),
@@ -33,9 +33,9 @@
             Cause::Few | Cause::Room | Cause::Spared | Cause::Rack | Cause::Apart => {
                 format!("{room}{not_open}")
             }
-            Cause::Reserved => reserved(entry, group, now),
-            Cause::Clearance => self.clearance_detail(entry, group, now),
-            Cause::Avoided => format!("failed at {}", list(self.failed_at(entry, group, now))),
+            Cause::Reserved => reserved(entry, step_key, now),
+            Cause::Clearance => self.clearance_detail(entry, step_key, now),
+            Cause::Avoided => format!("failed at {}", list(self.failed_at(entry, step_key, now))),
         }
     }
 
@@ -69,7 +69,8 @@
 
     /// Formats for how many workers the step is cleared, and whether a request is in flight.
     fn clearance_detail(&self, entry: &Entry, (_, occurrence, step): &StepKey, now: u64) -> String {
-        let asking = if self.advice_pending { "a question is out" } else { "no question is out" };
+        let asking =
+            if self.clearance_pending { "a question is out" } else { "no question is out" };
         let known = entry.clearances.get(&(*occurrence, *step));
         let (barred, cleared) = known.map_or((0, 0), |clearance| clearance.counts(now));
         format!("{asking}; may not run at {barred}, cleared for {cleared}")
--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -14,7 +14,7 @@
     claim_timeout: u64,
     /// Since when the table is known to have no owner row.
     unowned_since: Option<u64>,
-    /// The version of the row at which the former owner handed over to this entry.
+    /// The version of the row at which the previous owner handed over to this entry.
     handover_version: Option<u64>,
     /// The row's version, and since when it has been unchanged without a gap in the reads.
     unchanged: Option<(u64, u64)>,
@@ -84,7 +84,7 @@
         };
     }
 
-    /// Handles a hand-over by the former owner to this entry; the row now has this version.
+    /// Handles a hand-over by the previous owner to this entry; the row now has this version.
     pub fn on_handover(&mut self, version: u64) {
         self.handover_version = Some(version);
     }
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -53,12 +53,12 @@
 impl Owner {
     /// Sets the availability zones that operators evacuate, as read by a call sent at `sent`.
     pub fn set_evacuation(&mut self, zones: &Evacuation, sent: u64) {
-        self.evacuated.last_read = self.evacuated.last_read.max(sent);
-        if self.evacuated.zones == *zones {
+        self.evacuation.last_read = self.evacuation.last_read.max(sent);
+        if self.evacuation.zones == *zones {
             return;
         }
-        let former = std::mem::replace(&mut self.evacuated.zones, zones.clone());
-        self.evacuated.ever_evacuated = true;
+        let former = std::mem::replace(&mut self.evacuation.zones, zones.clone());
+        self.evacuation.ever_evacuated = true;
         for agent in self.agents.values_mut() {
             agent.zone_evacuated = agent.worker.as_ref().is_some_and(|w| zones.contains(&w.zone));
         }
@@ -66,7 +66,7 @@
             self.log_evacuation_begun(zone);
         }
         for zone in former.difference(zones) {
-            self.evacuated.empty.remove(zone);
+            self.evacuation.empty.remove(zone);
             self.log("evacuation over", zone, "its workers take work again".to_owned());
         }
         for link in self.links() {
@@ -79,10 +79,10 @@
     /// Logs when that begins and ends.
     pub(crate) fn operators_unreachable(&mut self, now: u64) -> bool {
         let Some(bound) = self.settings.evacuation_deadline else { return false };
-        let silent = now.saturating_sub(self.evacuated.last_read);
+        let silent = now.saturating_sub(self.evacuation.last_read);
         let unreachable = silent + START_CUTOFF_MS.min(bound / 3) > bound;
-        if unreachable != self.evacuated.unreachable {
-            self.evacuated.unreachable = unreachable;
+        if unreachable != self.evacuation.unreachable {
+            self.evacuation.unreachable = unreachable;
             match unreachable {
                 true => self.log("operators not heard", "", format!("for {silent} ms")),
                 false => self.log("operators heard", "", "again".to_owned()),
@@ -93,14 +93,14 @@
 
     /// The number of evacuated availability zones, and of those that may not be empty yet.
     pub fn evacuation_counts(&self) -> (usize, usize) {
-        let zones = self.evacuated.zones.zones().count();
-        (zones, zones - self.evacuated.empty.len())
+        let zones = self.evacuation.zones.zones().count();
+        (zones, zones - self.evacuation.empty.len())
     }
 
     /// Sends the evacuated zones to an agent, unless there never were any.
     pub(crate) fn send_evacuation(&mut self, link: LinkId) {
-        if self.evacuated.ever_evacuated {
-            let zones = self.evacuated.zones.clone();
+        if self.evacuation.ever_evacuated {
+            let zones = self.evacuation.zones.clone();
             self.send(link, Order::Evacuate { zones });
         }
     }
@@ -108,21 +108,22 @@
     /// Logs once for each evacuated zone when nothing runs there any more, so that it may be
     /// switched off.
     pub(crate) fn check_evacuated_zones(&mut self, now: u64) {
-        if self.evacuated.zones.is_empty() || now < self.evacuated.last_checked + CHECK_INTERVAL_MS
+        if self.evacuation.zones.is_empty()
+            || now < self.evacuation.last_checked + CHECK_INTERVAL_MS
         {
             return;
         }
-        self.evacuated.last_checked = now;
-        // Runs started by a former owner may be unknown until then.
+        self.evacuation.last_checked = now;
+        // Runs started by a previous owner may be unknown until then.
         if !self.settled {
             return;
         }
         let busy = self.evacuated_runs();
-        let zones: Vec<String> = self.evacuated.zones.zones().map(str::to_owned).collect();
+        let zones: Vec<String> = self.evacuation.zones.zones().map(str::to_owned).collect();
         for zone in zones {
             if busy.contains_key(&zone) {
-                self.evacuated.empty.remove(&zone);
-            } else if self.evacuated.empty.insert(zone.clone()) {
+                self.evacuation.empty.remove(&zone);
+            } else if self.evacuation.empty.insert(zone.clone()) {
                 self.log("zone empty", &zone, "nothing runs there".to_owned());
             }
         }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -8,7 +8,6 @@
 
 mod agent;
 mod batch;
-mod blame;
 mod candidate;
 mod cause;
 mod checkpoints;
@@ -28,6 +27,7 @@
 mod owner;
 mod pace;
 mod plan;
+mod quarantine;
 mod record;
 mod refusals;
 mod reports;
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -137,8 +137,8 @@
     }
 
     /// Marks all agents as answered if every listed worker has answered under this epoch and the
-    /// list is newer than the last lease that a former owner may have granted. Then no run of a
-    /// former owner can be unknown: workers that are not listed run nothing, and workers that
+    /// list is newer than the last lease that a previous owner may have granted. Then no run of a
+    /// previous owner can be unknown: workers that are not listed run nothing, and workers that
     /// joined later got no lease from it.
     fn settle_by_list(&mut self, listed: &BTreeSet<&str>, sent: u64) {
         let (granted, _) = self.predecessor_grants();
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -29,7 +29,7 @@
 
 impl Maintenance {
     /// Machines that are up and that no wave has called since the list was requested. A machine
-    /// that a former owner had already taken down stays up when it is called again.
+    /// that a previous owner had already taken down stays up when it is called again.
     fn back_up(&self, sent: u64) -> Vec<String> {
         let idle = |name: &String| {
             self.waves.values().all(|state| {
@@ -129,7 +129,7 @@
 }
 
 impl Owner {
-    /// Adds a wave to carry out. `known` is what a former owner recorded of it, and `wall` is the
+    /// Adds a wave to carry out. `known` is what a previous owner recorded of it, and `wall` is the
     /// time of day.
     pub fn add_wave(&mut self, wave: &Wave, known: Option<WaveRecord>, wall: u64) {
         let done = known.is_some_and(|known| known.done);
@@ -141,13 +141,13 @@
             called: BTreeMap::new(),
             done,
         };
-        self.upkeep.waves.entry(wave.number).or_insert(state);
+        self.maintenance.waves.entry(wave.number).or_insert(state);
         self.outputs.push(Output::WaveStatus { number: wave.number, done });
     }
 
     /// True if the wave was added before.
     pub fn knows_wave(&self, number: u64) -> bool {
-        self.upkeep.waves.contains_key(&number)
+        self.maintenance.waves.contains_key(&number)
     }
 
     /// Handles the platform's list of all machines, requested at `sent` and returned on `pages`
@@ -157,21 +157,21 @@
     /// were dropped, its wave would be reported as complete before its turn.
     pub fn on_machines(&mut self, machines: Vec<Machine>, whole: bool, pages: usize, sent: u64) {
         if whole {
-            self.upkeep.machines.clear();
+            self.maintenance.machines.clear();
             self.on_machine_list(&machines, pages, sent);
         }
         let by_name = machines.into_iter().map(|machine| (machine.name.clone(), machine));
-        self.upkeep.machines.extend(by_name);
-        self.upkeep.partial = !whole;
-        self.upkeep.listed_at = Some(sent);
-        for name in self.upkeep.back_up(sent) {
+        self.maintenance.machines.extend(by_name);
+        self.maintenance.partial = !whole;
+        self.maintenance.listed_at = Some(sent);
+        for name in self.maintenance.back_up(sent) {
             self.cancel_take_down(&name);
         }
     }
 
     /// Handles the result of a call to take a machine down.
     pub fn on_take_down(&mut self, number: u64, machine: &str, taken: TakeDownResult, now: u64) {
-        let Some(state) = self.upkeep.waves.get_mut(&number) else { return };
+        let Some(state) = self.maintenance.waves.get_mut(&number) else { return };
         match taken {
             TakeDownResult::Begun => {
                 state.called.remove(machine);
@@ -206,11 +206,11 @@
         if open.is_empty() {
             return;
         }
-        if now >= self.upkeep.requested_at + LIST_INTERVAL_MS {
-            self.upkeep.requested_at = now;
+        if now >= self.maintenance.requested_at + LIST_INTERVAL_MS {
+            self.maintenance.requested_at = now;
             self.outputs.push(Output::ListMachines);
         }
-        if self.upkeep.listed_at.is_none() {
+        if self.maintenance.listed_at.is_none() {
             return;
         }
         let mut next = BTreeSet::new();
@@ -224,7 +224,7 @@
 
     /// Waves whose state is to be recorded; they count as recorded from now on.
     pub(crate) fn unrecorded_waves(&mut self) -> Vec<(u64, WaveRecord)> {
-        let new = self.upkeep.waves.iter_mut().filter(|(_, state)| !state.recorded);
+        let new = self.maintenance.waves.iter_mut().filter(|(_, state)| !state.recorded);
         new.map(|(number, state)| {
             state.recorded = true;
             (*number, WaveRecord { at: state.first_seen, done: state.done })
@@ -234,14 +234,14 @@
 
     /// Marks a wave as unrecorded after a failed write.
     pub(crate) fn mark_unrecorded(&mut self, number: u64) {
-        if let Some(state) = self.upkeep.waves.get_mut(&number) {
+        if let Some(state) = self.maintenance.waves.get_mut(&number) {
             state.recorded = false;
         }
     }
 
     /// Lets a machine take work again that is not taken down after all, or not yet.
     fn cancel_take_down(&mut self, machine: &str) {
-        let worker = self.upkeep.machines.get(machine).map(|machine| machine.worker.clone());
+        let worker = self.maintenance.machines.get(machine).map(|machine| machine.worker.clone());
         let name = worker.and_then(|worker| self.agent_of(&worker).map(str::to_owned));
         if let Some(agent) = name.and_then(|name| self.agents.get_mut(&name)) {
             self.replan |= agent.shutdown_requested;
@@ -251,18 +251,18 @@
 
     /// Numbers of the waves that are not complete.
     fn open_waves(&self) -> Vec<u64> {
-        let open = self.upkeep.waves.iter().filter(|(_, state)| !state.done);
+        let open = self.maintenance.waves.iter().filter(|(_, state)| !state.done);
         open.map(|(number, _)| *number).collect()
     }
 
     /// Reports a wave as complete once every machine that still exists has been taken down.
     fn finish_wave(&mut self, number: u64) {
-        let maintenance = &self.upkeep;
+        let maintenance = &self.maintenance;
         let Some(state) = maintenance.waves.get(&number) else { return };
         let known = !maintenance.partial || state.all_known(maintenance);
         let done =
             known && state.remaining(maintenance).next().is_none() && state.called.is_empty();
-        if let Some(state) = self.upkeep.waves.get_mut(&number).filter(|_| done) {
+        if let Some(state) = self.maintenance.waves.get_mut(&number).filter(|_| done) {
             state.done = true;
             state.recorded = false;
             self.log("wave", &number.to_string(), "all machines have begun".to_owned());
@@ -272,7 +272,7 @@
 
     /// Repeats calls without an answer.
     fn retry_calls(&mut self, number: u64, now: u64) {
-        let Some(state) = self.upkeep.waves.get_mut(&number) else { return };
+        let Some(state) = self.maintenance.waves.get_mut(&number) else { return };
         for (machine, called) in &mut state.called {
             if now >= *called + CALL_RETRY_MS {
                 *called = now;
@@ -285,7 +285,7 @@
     /// Takes down the next machines of a wave, and returns the agents of those that are next but
     /// not idle yet. Machines that lose the least work come first.
     fn take_down_next(&mut self, number: u64, now: u64, wall: u64) -> BTreeSet<String> {
-        let maintenance = &self.upkeep;
+        let maintenance = &self.maintenance;
         let Some(state) = maintenance.waves.get(&number).filter(|state| !state.done) else {
             return BTreeSet::new();
         };
@@ -316,7 +316,7 @@
                 next.insert(agent);
                 continue;
             }
-            if let Some(state) = self.upkeep.waves.get_mut(&number) {
+            if let Some(state) = self.maintenance.waves.get_mut(&number) {
                 state.called.insert(machine.clone(), now);
             }
             if let Some(agent) = self.agents.get_mut(&agent) {
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -10,11 +10,11 @@
 impl Owner {
     /// Adds an agent that has a row in the table.
     ///
-    /// Agents added within a second after the takeover may hold leases of the former owner. They
-    /// must answer, or their leases expire, before work of the former owner is restarted.
+    /// Agents added within a second after the takeover may hold leases of the previous owner. They
+    /// must answer, or their leases expire, before work of the previous owner is restarted.
     pub fn add_agent(&mut self, name: &str, now: u64) {
         let lapse = match now.saturating_sub(self.claimed_at) {
-            // Known since the takeover: the former owner may have granted a lease until it
+            // Known since the takeover: the previous owner may have granted a lease until it
             // was replaced.
             0..=1000 => self.claimed_at + self.settings.lease + self.settings.lease_margin,
             _ => 0,
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -63,13 +63,13 @@
     /// Whether `times` has changed since it was last recorded.
     pub(crate) times_changed: bool,
     /// Whether a request to the service that clears steps for workers is in flight.
-    pub(crate) advice_pending: bool,
+    pub(crate) clearance_pending: bool,
     /// When the next task may return to a worker at which it failed.
     pub(crate) avoidance_ends_at: Option<u64>,
     /// When the next reservation expires.
     pub(crate) reservation_ends_at: Option<u64>,
     /// When a clearance request that got no answer may be retried.
-    pub(crate) advice_retry_at: Option<u64>,
+    pub(crate) clearance_retry_at: Option<u64>,
     /// Whether a batch from [`Owner::record`] has not been acknowledged yet.
     pub(crate) record_in_flight: bool,
     /// Whether something changed that may let work start, so that the next tick must plan.
@@ -81,7 +81,7 @@
     /// Whether every run that a previous owner may have started is accounted for.
     pub(crate) settled: bool,
     /// Logging of members that delay the start of older jobs.
-    pub(crate) awaited: SettlementLog,
+    pub(crate) settlement_log: SettlementLog,
     /// Which workers were closed when waiting steps were last reviewed.
     pub(crate) review: Review,
     /// Steps that wait for their start, and what has been logged about them.
@@ -91,9 +91,9 @@
     /// Groups of several tasks that had just started at a worker when it crashed.
     pub(crate) suspect_groups: Vec<Vec<Task>>,
     /// Waves of maintenance.
-    pub(crate) upkeep: Maintenance,
+    pub(crate) maintenance: Maintenance,
     /// Availability zones in which nothing starts.
-    pub(crate) evacuated: EvacuationState,
+    pub(crate) evacuation: EvacuationState,
     /// Id of the next unit of runs that stop together.
     pub(crate) next_unit: u64,
     /// The next time of day at which the passage of time alone may let work start.
@@ -136,22 +136,22 @@
             dirty_urgent: false,
             times: Times::default(),
             times_changed: false,
-            advice_pending: false,
+            clearance_pending: false,
             avoidance_ends_at: None,
             reservation_ends_at: None,
-            advice_retry_at: None,
+            clearance_retry_at: None,
             record_in_flight: false,
             replan: true,
             majority_since: None,
             predecessor_ended: false,
             settled: false,
-            awaited: SettlementLog::default(),
+            settlement_log: SettlementLog::default(),
             review: Review::default(),
             waits: Waits::default(),
             listing: Listing::default(),
             suspect_groups: Vec::new(),
-            upkeep: Maintenance::default(),
-            evacuated: EvacuationState::default(),
+            maintenance: Maintenance::default(),
+            evacuation: EvacuationState::default(),
             next_unit: 1,
             replan_at: None,
             outputs: Vec::new(),
@@ -348,7 +348,7 @@
         // workers until some other event caused a plan.
         self.replan |= self.reservation_ends_at.take_if(|at| *at <= now).is_some();
         let due = self.replan_at.is_some_and(|due| due <= wall);
-        if due || self.advice_retry_at.take_if(|at| *at <= now).is_some() {
+        if due || self.clearance_retry_at.take_if(|at| *at <= now).is_some() {
             self.replan = true;
         }
         if self.replan && !self.operators_unreachable(now) {
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -104,10 +104,10 @@
 
     /// Returns whether room is reserved for the candidate under its team's guarantee.
     fn has_reserved_guarantee(&self, candidate: &Candidate) -> bool {
-        let step_key = (candidate.occurrence, candidate.step);
+        let occurrence_step = (candidate.occurrence, candidate.step);
         let entry = self.jobs.get(&candidate.id);
         candidate.guaranteed()
-            && entry.is_some_and(|entry| entry.reservations.contains_key(&step_key))
+            && entry.is_some_and(|entry| entry.reservations.contains_key(&occurrence_step))
     }
 
     /// Returns the total capacity of the workers of each pool.
@@ -178,14 +178,14 @@
         wall: u64,
     ) {
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
-        let step_key = (candidate.occurrence, candidate.step);
-        if let Some(reservation) = entry.reservations.get(&step_key).cloned() {
+        let occurrence_step = (candidate.occurrence, candidate.step);
+        if let Some(reservation) = entry.reservations.get(&occurrence_step).cloned() {
             if self.use_reservation(candidate, &reservation, snapshot, now) {
                 self.record_reserved_wait(candidate, now);
                 return;
             }
             if let Some(entry) = self.jobs.get_mut(&candidate.id) {
-                entry.reservations.remove(&step_key);
+                entry.reservations.remove(&occurrence_step);
             }
         }
         let Some(entry) = self.jobs.get(&candidate.id) else { return };
--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -25,11 +25,11 @@
             entry.avoided_workers.entry(slot).or_default().insert(worker.incarnation(), until);
             self.avoidance_ends_at = Some(self.avoidance_ends_at.map_or(until, |at| at.min(until)));
         }
-        let closed = self.agents.values().filter(|agent| now < agent.blame.until).count();
+        let closed = self.agents.values().filter(|agent| now < agent.quarantine.until).count();
         let most = max_quarantined(self.agents.len());
         let Some(agent) = self.agents.get_mut(name) else { return };
-        if agent.blame.record_failure(&task.job) && closed < most {
-            let ms = agent.blame.begin(now);
+        if agent.quarantine.record_failure(&task.job) && closed < most {
+            let ms = agent.quarantine.begin(now);
             self.log("worker closed", name, format!("for {ms} ms: all recent tasks failed"));
         }
     }
@@ -41,9 +41,9 @@
             self.replan = true;
             self.avoidance_ends_at = self.next_avoid_expiry(now);
         }
-        for agent in self.agents.values_mut().filter(|agent| agent.blame.until > 0) {
-            if now >= agent.blame.until {
-                agent.blame.until = 0;
+        for agent in self.agents.values_mut().filter(|agent| agent.quarantine.until > 0) {
+            if now >= agent.quarantine.until {
+                agent.quarantine.until = 0;
                 self.replan = true;
             }
         }
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -41,7 +41,7 @@
             agent.acknowledged_end = 0;
             agent.consecutive_failures = 0;
             agent.doubted_until = 0;
-            agent.blame.reset();
+            agent.quarantine.reset();
             agent.refusals = Refusals::default();
             agent.shutdown_requested = false;
         }
@@ -49,7 +49,7 @@
             agent.silent_ms = 0;
         }
         let changed = agent.worker.as_ref().is_some_and(|known| known.eligibility_differs(&worker));
-        agent.zone_evacuated = self.evacuated.covers(&worker.zone);
+        agent.zone_evacuated = self.evacuation.covers(&worker.zone);
         // Agents repeat the worker's last report, so the warm-up time counts from the first.
         if agent.worker.as_ref().is_none_or(|known| known.cold != worker.cold) || new_incarnation {
             agent.cold_until = now + worker.cold;
@@ -63,7 +63,7 @@
         agent.listed_runs = running.iter().map(|run| (run.task.clone(), run.number)).collect();
         self.replan |= !std::mem::take(&mut agent.strays).is_empty();
         // A worker that broke its connections is schedulable again once it answers.
-        let recovered = fenced && agent.crash.is_some();
+        let recovered = fenced && agent.suspected_crash.is_some();
         if restarted || first_answer || changed || recovered {
             self.replan = true;
         }
@@ -112,7 +112,7 @@
     /// Handles a worker's notice that it is shutting down.
     pub(crate) fn on_left(&mut self, name: &str, from: &Incarnation) {
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.crash = None;
+            agent.suspected_crash = None;
         }
         self.end_incarnation(name, from, "left");
     }
@@ -131,7 +131,7 @@
     }
 
     /// Sends pending orders again after a reconnect, since they may have been lost with the
-    /// former connection. Starts and stops are idempotent.
+    /// previous connection. Starts and stops are idempotent.
     fn resend_orders(&mut self, name: &str, from: &Incarnation, now: u64) {
         let evacuated = self.agents.get(name).is_some_and(|agent| agent.zone_evacuated);
         for (job, key) in self.runs_where(|placed| placed.agent == name && placed.worker == *from) {
@@ -167,7 +167,7 @@
             return self.stop_stray(name, from, &run.task, run.number, now);
         };
         let slot = entry.slot(key);
-        // A former owner started the later run only after the earlier one had ended, but the
+        // A previous owner started the later run only after the earlier one had ended, but the
         // agent of a lost worker still lists what ran there. Without this check the later,
         // live run would be stopped as a stray and its task started a second time.
         let has_earlier = entry.runs.get(&key).is_some_and(|placed| placed.run < run.number);
@@ -196,7 +196,7 @@
                 self.stop_stray(name, from, &run.task, run.number, now);
             }
             None => {
-                // A former owner started it.
+                // A previous owner started it.
                 let unit = self.next_unit;
                 self.next_unit += 1;
                 let placed = Placement {
@@ -347,7 +347,7 @@
         if let Some(agent) = self.agents.get_mut(name) {
             agent.consecutive_failures = 0;
             agent.doubted_until = 0;
-            agent.blame.reset();
+            agent.quarantine.reset();
         }
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let before = entry.progress.state;
--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -40,12 +40,12 @@
         }
         let snapshot = self.snapshot(now);
         let restrictions = vec![Restriction::None; snapshot.workers.len()];
-        for (group, wait) in waits {
-            let found = self.cause(&group, wait.tasks, &snapshot.workers, &restrictions);
+        for (step_key, wait) in waits {
+            let found = self.cause(&step_key, wait.tasks, &snapshot.workers, &restrictions);
             let changed =
                 |cause: &Cause| cause.is_lack_of_workers() || wait.cause.is_lack_of_workers();
             if let Some((cause, room)) = found.filter(|(cause, _)| changed(cause)) {
-                self.waits.record(group, (wait.tasks, cause), room, now);
+                self.waits.record(step_key, (wait.tasks, cause), room, now);
             }
         }
     }
--- a/crates/dispatch/src/rows.rs
+++ b/crates/dispatch/src/rows.rs
@@ -101,7 +101,7 @@
 
 impl Ownership {
     /// True if neither this owner nor an earlier one still grants leases, as far as the entry
-    /// `name` can tell when it claims: the holder handed over, or it was a former incarnation of
+    /// `name` can tell when it claims: the holder handed over, or it was a previous incarnation of
     /// the same entry. For earlier owners this holds only if the holder had settled, that is,
     /// outlived their leases: a partitioned owner may not know yet that it was replaced twice.
     pub fn grants_ended(&self, name: &str) -> bool {
--- a/crates/dispatch/src/settlement.rs
+++ b/crates/dispatch/src/settlement.rs
@@ -24,15 +24,15 @@
     /// Logs which members older jobs wait for, and why: one line for all jobs.
     pub(crate) fn log_unsettled(&mut self, now: u64, wall: u64) {
         let waited = now - self.claimed_at;
-        if self.settled || waited < MIN_LOGGED_WAIT_MS || now < self.awaited.next_scan {
+        if self.settled || waited < MIN_LOGGED_WAIT_MS || now < self.settlement_log.next_scan {
             return;
         }
         let members = self.awaited_members(now);
-        if members == self.awaited.logged {
-            self.awaited.next_scan = now + SCAN_INTERVAL_MS;
+        if members == self.settlement_log.logged {
+            self.settlement_log.next_scan = now + SCAN_INTERVAL_MS;
             return;
         }
-        self.awaited.next_scan = now + LOG_INTERVAL_MS;
+        self.settlement_log.next_scan = now + LOG_INTERVAL_MS;
         let steps = self.prune_held_back(wall);
         if steps == 0 {
             return;
@@ -40,10 +40,10 @@
         let names = members.iter().map(|(name, lack)| format!("{name} {}", lack.name())).collect();
         let names = list(names);
         self.log("unsettled", "", format!("{waited} ms; {steps} older steps wait for {names}"));
-        self.awaited.logged = members;
+        self.settlement_log.logged = members;
     }
 
-    /// The members that may still run tasks started by a former owner, with what each lacks.
+    /// The members that may still run tasks started by a previous owner, with what each lacks.
     fn awaited_members(&self, now: u64) -> Vec<(String, CloseReason)> {
         let (last, lease) = self.predecessor_grants();
         let agents = self
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/sight.rs
@@ -22,21 +22,23 @@
     /// Returns how many steps have waited for at least a second, by cause.
     pub fn long_waits(&self) -> BTreeMap<Cause, usize> {
         let mut counts = BTreeMap::new();
-        let long =
-            self.waits.long_waits(self.now).filter(|(group, _)| is_open(&self.jobs, &group.0));
+        let long = self
+            .waits
+            .long_waits(self.now)
+            .filter(|(step_key, _)| is_open(&self.jobs, &step_key.0));
         long.for_each(|(_, cause)| *counts.entry(cause).or_default() += 1);
         counts
     }
 
     /// Records that a step waits for its reserved room. Returns false if it has none.
     pub(crate) fn record_reserved_wait(&mut self, candidate: &Candidate, now: u64) -> bool {
-        let step_key = (candidate.occurrence, candidate.step);
-        let reserved = |entry: &Entry| entry.reservations.contains_key(&step_key);
+        let occurrence_step = (candidate.occurrence, candidate.step);
+        let reserved = |entry: &Entry| entry.reservations.contains_key(&occurrence_step);
         if !self.jobs.get(&candidate.id).is_some_and(reserved) {
             return false;
         }
         let wait = (self.unplaced_tasks(candidate), Cause::Reserved);
-        self.waits.record(group(candidate), wait, (0, 0), now);
+        self.waits.record(step_key_of(candidate), wait, (0, 0), now);
         true
     }
 
@@ -53,9 +55,11 @@
         if left == 0 || self.record_reserved_wait(candidate, now) {
             return;
         }
-        let key = group(candidate);
-        let Some((cause, room)) = self.cause(&key, left, &snapshot.workers, limits) else { return };
-        self.waits.record(key, (left, cause), room, now);
+        let step_key = step_key_of(candidate);
+        let Some((cause, room)) = self.cause(&step_key, left, &snapshot.workers, limits) else {
+            return;
+        };
+        self.waits.record(step_key, (left, cause), room, now);
     }
 
     /// Returns why this number of tasks of a step does not start on `workers`, how many of
@@ -96,15 +100,15 @@
 
     /// Records waits of steps that are ready but are not candidates yet.
     pub(crate) fn record_held_back(&mut self, now: u64, wall: u64) {
-        for (group, wait) in self.held_back(wall) {
-            self.waits.record(group, wait, (0, 0), now);
+        for (step_key, wait) in self.held_back(wall) {
+            self.waits.record(step_key, wait, (0, 0), now);
         }
     }
 
     /// Logs the steps that have started after waiting, and what they had waited for.
     pub(crate) fn log_ended_waits(&mut self, now: u64) {
-        for (group, wait) in self.waits.end_round(now) {
-            let (id, occurrence, step) = &group;
+        for (step_key, wait) in self.waits.end_round(now) {
+            let (id, occurrence, step) = &step_key;
             let begun = |entry: &Entry| entry.has_runs(*occurrence, *step);
             if !self.jobs.get(id).is_some_and(begun) {
                 continue;
@@ -124,13 +128,13 @@
             return;
         }
         let jobs = &self.jobs;
-        self.waits.retain(|group, _| is_open(jobs, &group.0));
+        self.waits.retain(|step_key, _| is_open(jobs, &step_key.0));
         let (due, left) = self.waits.take_due_lines(now);
-        for (group, wait) in due {
-            let (id, occurrence, step) = &group;
+        for (step_key, wait) in due {
+            let (id, occurrence, step) = &step_key;
             let name = format!("{id}.{occurrence}.{step}, {} tasks", wait.tasks);
             let (ms, cause) = (now - wait.waiting_since, wait.cause.name());
-            let detail = self.wait_detail(&group, &wait, now);
+            let detail = self.wait_detail(&step_key, &wait, now);
             self.log("waits", id, format!("{name}, {ms} ms: {cause}: {detail}"));
         }
         if !left.is_empty() {
@@ -145,10 +149,11 @@
             .held_back(wall)
             .into_iter()
             .filter(|(_, (_, cause))| *cause == Cause::Unsettled)
-            .map(|(group, _)| group)
+            .map(|(step_key, _)| step_key)
             .collect();
-        self.waits
-            .retain(|group, wait| wait.cause != Cause::Unsettled || held_back.contains(group));
+        self.waits.retain(|step_key, wait| {
+            wait.cause != Cause::Unsettled || held_back.contains(step_key)
+        });
         held_back.len()
     }
 
@@ -225,7 +230,7 @@
     jobs.get(id).is_some_and(|entry| !entry.progress.state.is_final())
 }
 
-fn group(candidate: &Candidate) -> StepKey {
+fn step_key_of(candidate: &Candidate) -> StepKey {
     (candidate.id.clone(), candidate.occurrence, candidate.step)
 }
 
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -44,7 +44,7 @@
             return;
         }
         let restarted = current.is_none() && agent.worker.is_some();
-        agent.crash = Some(SuspectedCrash { worker, starts });
+        agent.suspected_crash = Some(SuspectedCrash { worker, starts });
         if restarted {
             self.attribute_crash(name);
         }
@@ -52,7 +52,7 @@
 
     /// True if the previous incarnation of the agent's worker may have been crashed by a task.
     pub(crate) fn follows_crash(&self, name: &str, worker: &Incarnation) -> bool {
-        let crash = self.agents.get(name).and_then(|agent| agent.crash.as_ref());
+        let crash = self.agents.get(name).and_then(|agent| agent.suspected_crash.as_ref());
         crash.is_some_and(|crash| crash.worker != *worker)
     }
 
@@ -60,7 +60,7 @@
     /// of a task that has crashed too many workers in a row fails.
     pub(crate) fn attribute_crash(&mut self, name: &str) {
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let Some(SuspectedCrash { starts, .. }) = agent.crash.take() else { return };
+        let Some(SuspectedCrash { starts, .. }) = agent.suspected_crash.take() else { return };
         let among = starts.len();
         for (task, run) in &starts {
             self.count_crash(name, task, *run, among);
@@ -141,7 +141,7 @@
         stamp: u64,
     ) {
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.crash = None;
+            agent.suspected_crash = None;
         }
         for run in running {
             let Some(entry) = self.jobs.get_mut(&run.task.job) else { continue };
