--- a/crates/dispatch/src/dismissal.rs
+++ b/crates/dispatch/src/dismissal.rs
@@ -12,35 +12,35 @@
 /// State kept of dismissed agents until they announce themselves again.
 #[derive(Debug, Default)]
 pub(crate) struct Dismissal {
-    former: BTreeMap<String, DismissedAgent>,
+    agents: BTreeMap<String, DismissedAgent>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct DismissedAgent {
     /// When all leases granted through the agent have expired, in milliseconds.
-    lapse: u64,
+    leases_expire_at: u64,
     /// For how long its worker had owed an answer, in milliseconds.
-    silent: u64,
+    silent_ms: u64,
 }
 
 impl Dismissal {
     /// True if the agent was dismissed and has not announced itself since.
     pub fn contains(&self, name: &str) -> bool {
-        self.former.contains_key(name)
+        self.agents.contains_key(name)
     }
 
     /// True if the agent was dismissed and all its leases have expired.
     pub fn has_lapsed(&self, name: &str, now: u64) -> bool {
-        self.former.get(name).is_some_and(|former| now >= former.lapse)
+        self.agents.get(name).is_some_and(|dismissed| now >= dismissed.leases_expire_at)
     }
 
     /// Restores the state of a dismissed agent that announces itself again. Its worker stays
     /// unresponsive until the first ping reports otherwise, so an old answer gets it no work.
     pub fn readmit(&mut self, name: &str, agent: Agent) -> Agent {
-        let Some(former) = self.former.remove(name) else { return agent };
+        let Some(dismissed) = self.agents.remove(name) else { return agent };
         Agent {
-            leases_expire_at: agent.leases_expire_at.max(former.lapse),
-            silent_ms: former.silent,
+            leases_expire_at: agent.leases_expire_at.max(dismissed.leases_expire_at),
+            silent_ms: dismissed.silent_ms,
             ..agent
         }
     }
@@ -74,8 +74,9 @@
         self.attribute_crash(name);
         let Some(agent) = self.agents.remove(name) else { return };
         self.log("agent dismissed", name, "no connection or worker".to_owned());
-        let former = DismissedAgent { lapse: agent.leases_expire_at, silent: agent.silent_ms };
-        self.dismissal.former.insert(name.to_owned(), former);
+        let dismissed =
+            DismissedAgent { leases_expire_at: agent.leases_expire_at, silent_ms: agent.silent_ms };
+        self.dismissal.agents.insert(name.to_owned(), dismissed);
         if let Some(link) = agent.link {
             self.links.remove(&link);
             self.outputs.push(Output::Close { link });
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -24,7 +24,7 @@
     /// Since when the job has had no runs; none while it has any.
     pub idle_since: Option<u64>,
     /// The newest checkpoint of each task. A gang has one, at index 0.
-    pub saved: BTreeMap<Key, String>,
+    pub checkpoints: BTreeMap<Key, String>,
     /// Whether checkpoints have changed since they were last recorded.
     pub checkpoints_dirty: bool,
     /// When the checkpoints were last recorded.
@@ -148,14 +148,16 @@
     /// Stores a task's checkpoint as reported by a worker. An empty one means there is none.
     pub fn update_checkpoint(&mut self, slot: Key, checkpoint: &str) {
         if !checkpoint.is_empty() {
-            self.checkpoints_dirty |= self.saved.get(&slot).is_none_or(|known| known != checkpoint);
-            self.saved.insert(slot, checkpoint.to_owned());
+            self.checkpoints_dirty |=
+                self.checkpoints.get(&slot).is_none_or(|known| known != checkpoint);
+            self.checkpoints.insert(slot, checkpoint.to_owned());
         }
     }
 
     /// Returns the checkpoints to record: those of tasks that are not done.
     pub fn open_checkpoints(&self, id: &str) -> Checkpoints {
-        let tasks = self.saved.iter().filter(|(key, _)| !self.progress.is_done(&task(id, **key)));
+        let tasks =
+            self.checkpoints.iter().filter(|(key, _)| !self.progress.is_done(&task(id, **key)));
         Checkpoints::new(tasks)
     }
 
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -57,15 +57,15 @@
         if self.evacuation.zones == *zones {
             return;
         }
-        let former = std::mem::replace(&mut self.evacuation.zones, zones.clone());
+        let previous_zones = std::mem::replace(&mut self.evacuation.zones, zones.clone());
         self.evacuation.ever_evacuated = true;
         for agent in self.agents.values_mut() {
             agent.zone_evacuated = agent.worker.as_ref().is_some_and(|w| zones.contains(&w.zone));
         }
-        for zone in zones.difference(&former) {
+        for zone in zones.difference(&previous_zones) {
             self.log_evacuation_begun(zone);
         }
-        for zone in former.difference(zones) {
+        for zone in previous_zones.difference(zones) {
             self.evacuation.empty.remove(zone);
             self.log("evacuation over", zone, "its workers take work again".to_owned());
         }
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -304,7 +304,7 @@
             .collect();
         turns.sort();
         let mut next = BTreeSet::new();
-        for (lost, machine, agent) in turns {
+        for (lost_ms, machine, agent) in turns {
             if room == 0 {
                 break;
             }
@@ -312,7 +312,7 @@
                 continue;
             }
             room -= 1;
-            if lost > 0 && !short_of_time {
+            if lost_ms > 0 && !short_of_time {
                 next.insert(agent);
                 continue;
             }
@@ -339,16 +339,16 @@
     /// The run time lost if all runs at an agent end now, in milliseconds. Perpetual tasks count
     /// as no loss, since [`Owner::may_take_down`] bounds how many are stopped.
     fn lost_work_ms(&self, agent: &str, now: u64) -> u64 {
-        let mut lost = 0;
+        let mut lost_ms = 0;
         for entry in self.jobs.values() {
             for (key, placed) in entry.runs.iter().filter(|(_, placed)| placed.agent == agent) {
                 let perpetual = entry.step(*key).is_some_and(|step| step.perpetual);
                 if !perpetual {
-                    lost += now.saturating_sub(placed.started_at).max(1);
+                    lost_ms += now.saturating_sub(placed.started_at).max(1);
                 }
             }
         }
-        lost
+        lost_ms
     }
 
     /// True if taking the agent's machine down leaves no step with more missing tasks than its
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -13,16 +13,16 @@
     /// Agents added within a second after the takeover may hold leases of the previous owner. They
     /// must answer, or their leases expire, before work of the previous owner is restarted.
     pub fn add_agent(&mut self, name: &str, now: u64) {
-        let lapse = match now.saturating_sub(self.claimed_at) {
+        let leases_expire_at = match now.saturating_sub(self.claimed_at) {
             // Known since the takeover: the previous owner may have granted a lease until it
             // was replaced.
             0..=1000 => self.claimed_at + self.settings.lease + self.settings.lease_margin,
             _ => 0,
         };
-        let former = lapse > 0;
+        let predecessor_leases = leases_expire_at > 0;
         let agent = Agent {
-            predecessor_leases: former,
-            leases_expire_at: lapse,
+            predecessor_leases,
+            leases_expire_at,
             joined_at: now,
             last_notice_at: now,
             ..Agent::default()
@@ -46,9 +46,9 @@
         if let Some(known) = self.agents.get_mut(agent) {
             known.last_notice_at = now;
             known.fenced = false;
-            if let Some(former) = known.link.replace(link) {
-                self.links.remove(&former);
-                self.outputs.push(Output::Close { link: former });
+            if let Some(previous) = known.link.replace(link) {
+                self.links.remove(&previous);
+                self.outputs.push(Output::Close { link: previous });
             }
             self.links.insert(link, agent.to_owned());
             self.send(link, Order::Claim { epoch });
@@ -128,20 +128,21 @@
     /// Drops runs at workers whose leases have expired without a sign of life.
     pub(crate) fn expire_leases(&mut self, now: u64) {
         let bound = self.settings.lease + self.settings.lease_margin;
-        let mut lost = Vec::new();
+        let mut unresponsive = Vec::new();
         for (name, agent) in &self.agents {
-            let unlinked = agent.link.is_none() && now >= agent.leases_expire_at;
-            let unknown = agent.no_worker_since.is_some_and(|since| now >= since + bound);
-            if unlinked || unknown || agent.silent_ms >= bound {
-                lost.push(name.clone());
+            let disconnected = agent.link.is_none() && now >= agent.leases_expire_at;
+            let without_worker = agent.no_worker_since.is_some_and(|since| now >= since + bound);
+            if disconnected || without_worker || agent.silent_ms >= bound {
+                unresponsive.push(name.clone());
             }
         }
         self.expire_dismissed(now);
-        for name in lost {
+        for name in unresponsive {
             self.attribute_crash(&name);
             // Runs that started later are not covered by this silence.
-            let old = |placed: &Placement| placed.agent == name && now >= placed.started_at + bound;
-            for (id, key) in self.runs_where(old) {
+            let covered =
+                |placed: &Placement| placed.agent == name && now >= placed.started_at + bound;
+            for (id, key) in self.runs_where(covered) {
                 self.log("run lapsed", &id, format!("{key:?} at {name}"));
                 self.remove_run(&id, key);
             }
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -41,7 +41,7 @@
     /// The version of the row that held the progress.
     progress_version: u64,
     /// Its recorded checkpoints.
-    pub saved: Checkpoints,
+    pub checkpoints: Checkpoints,
     /// True if a client cancelled it.
     pub cancelled: bool,
 }
@@ -144,15 +144,15 @@
                 view.update_progress(progress, change.version);
                 None
             }),
-            "save" => serde_json::from_str(value).map(|saved| {
+            "save" => serde_json::from_str(value).map(|checkpoints| {
                 // The row may arrive after the job's rows were deleted.
                 if let Some(view) = self.jobs.get_mut(name) {
-                    view.saved = saved;
+                    view.checkpoints = checkpoints;
                 }
                 None
             }),
-            "wave" => serde_json::from_str(value).map(|seen: WaveRecord| {
-                self.waves.extend(name.parse().ok().map(|number: u64| (number, seen)));
+            "wave" => serde_json::from_str(value).map(|record: WaveRecord| {
+                self.waves.extend(name.parse().ok().map(|number: u64| (number, record)));
                 None
             }),
             "stop" => serde_json::from_str(value).map(|IgnoredAny| {
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -223,7 +223,7 @@
             progress: progress.unwrap_or_default(),
             runs: BTreeMap::new(),
             idle_since: None,
-            saved: BTreeMap::new(),
+            checkpoints: BTreeMap::new(),
             checkpoints_dirty: false,
             checkpoints_recorded_at: 0,
             run_numbers: BTreeMap::new(),
@@ -264,10 +264,10 @@
     }
 
     /// Loads a job's recorded checkpoints. Checkpoints that workers have reported since are kept.
-    pub fn restore_checkpoints(&mut self, id: &str, saved: &Checkpoints) {
+    pub fn restore_checkpoints(&mut self, id: &str, checkpoints: &Checkpoints) {
         if let Some(entry) = self.jobs.get_mut(id) {
-            for (key, checkpoint) in saved.by_task() {
-                entry.saved.entry(key).or_insert(checkpoint);
+            for (key, checkpoint) in checkpoints.by_task() {
+                entry.checkpoints.entry(key).or_insert(checkpoint);
             }
         }
     }
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -386,7 +386,7 @@
                 *number += 1;
             }
             let run = *number;
-            let saved = entry.saved.get(&slot).cloned().unwrap_or_default();
+            let saved = entry.checkpoints.get(&slot).cloned().unwrap_or_default();
             let spec = entry.job.spec.clone();
             let ticket = entry.ticket(key, &worker, now).unwrap_or_default().to_owned();
             let placed = Placement {
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -68,7 +68,7 @@
             self.replan = true;
         }
         if new_incarnation {
-            self.drop_former_runs(name, &from, now);
+            self.remove_previous_runs(name, &from, now);
         }
         for end in ended {
             self.on_end(name, &from, end, now);
@@ -92,9 +92,9 @@
     /// Calls to a worker name it by id only. A start that the previous incarnation never listed
     /// may have reached the current one, or may still reach it. Its task would run twice if it
     /// were started elsewhere, so it is stopped at the current incarnation first.
-    fn drop_former_runs(&mut self, name: &str, from: &Incarnation, now: u64) {
-        let former = self.runs_where(|placed| placed.agent == name && placed.worker != *from);
-        for (job, key) in former {
+    fn remove_previous_runs(&mut self, name: &str, from: &Incarnation, now: u64) {
+        let previous = self.runs_where(|placed| placed.agent == name && placed.worker != *from);
+        for (job, key) in previous {
             let entry = self.jobs.get_mut(&job);
             let Some(placed) = entry.and_then(|entry| entry.runs.get_mut(&key)) else { continue };
             if placed.worker.id == from.id && placed.first_listed_at.is_none() {
@@ -123,8 +123,8 @@
             agent.reconciled = true;
             agent.worker_left = true;
         }
-        let lost = self.runs_where(|placed| placed.agent == name && placed.worker == *from);
-        for (job, key) in lost {
+        let ended = self.runs_where(|placed| placed.agent == name && placed.worker == *from);
+        for (job, key) in ended {
             self.log("run lost", &job, format!("{key:?}: worker at {name} {how}"));
             self.remove_run(&job, key);
         }
@@ -150,7 +150,8 @@
                 Phase::Stopping => Order::Stop { worker, task: task(&job, key), run },
                 Phase::Starting => {
                     let spec = entry.job.spec.clone();
-                    let saved = entry.saved.get(&entry.slot(key)).cloned().unwrap_or_default();
+                    let saved =
+                        entry.checkpoints.get(&entry.slot(key)).cloned().unwrap_or_default();
                     let ticket = entry.ticket(key, from, now).unwrap_or_default().to_owned();
                     let task = task(&job, key);
                     Order::Start { worker, task, run, spec, saved, ticket, again: true }
--- a/crates/entry/src/site/own.rs
+++ b/crates/entry/src/site/own.rs
@@ -140,7 +140,7 @@
     for (id, view) in &mirror.jobs {
         if let Some((job, version)) = &view.job {
             owner.add_job(id, job.clone(), *version, view.progress.clone());
-            owner.restore_checkpoints(id, &view.saved);
+            owner.restore_checkpoints(id, &view.checkpoints);
             if view.cancelled {
                 owner.cancel(id, now);
             }
