--- a/crates/dispatch/src/guide.rs
+++ b/crates/dispatch/src/estimator.rs
@@ -7,14 +7,14 @@
 use crate::times::Times;
 
 /// Estimates run times and objectives from learned run times and the size of the pools.
-pub(crate) struct Guide<'a> {
+pub(crate) struct Estimator<'a> {
     /// Learned run times.
     pub times: &'a Times,
     /// Total capacity of the workers of each pool.
     pub pools: &'a BTreeMap<String, Resources>,
 }
 
-impl Guide<'_> {
+impl Estimator<'_> {
     /// Returns the objective of an occurrence of a job.
     pub fn objective_of(&self, entry: &Entry, occurrence: u32) -> Objective {
         let job = &entry.job;
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -5,12 +5,11 @@
 
 use crate::agent::Agent;
 use crate::checkpoints::Checkpoints;
-use crate::detail::list;
 use crate::dismissal::Dismissal;
 use crate::election::OWNER_TIMEOUT_MS;
 use crate::entry::{Entry, Key, Phase, Placement};
+use crate::estimator::Estimator;
 use crate::evacuation::EvacuationState;
-use crate::guide::Guide;
 use crate::listing::Listing;
 use crate::maintenance::Maintenance;
 use crate::output::Output;
@@ -18,6 +17,7 @@
 use crate::settings::Settings;
 use crate::settlement::SettlementLog;
 use crate::times::Times;
+use crate::wait_detail::list;
 use crate::waits::Waits;
 
 /// The scheduling state of all unfinished jobs and of all workers.
@@ -402,11 +402,11 @@
     pub(crate) fn log_job_end(&mut self, id: &str, state: State) {
         let Some(entry) = self.jobs.get(id) else { return };
         let pools = self.pools();
-        let guide = Guide { times: &self.times, pools: &pools };
+        let estimator = Estimator { times: &self.times, pools: &pools };
         let detail = match entry.job.schedule {
             Some(_) => format!("{state:?}, scheduled"),
             None => {
-                let objective = guide.objective_of(entry, 0).duration_ms();
+                let objective = estimator.objective_of(entry, 0).duration_ms();
                 format!("{state:?}, objective {objective} ms")
             }
         };
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -12,7 +12,7 @@
 
 use crate::candidate::Candidate;
 use crate::entry::{Entry, Phase, Placement};
-use crate::guide::Guide;
+use crate::estimator::Estimator;
 use crate::owner::{Owner, task};
 use crate::snapshot::{Exclusions, Snapshot};
 use crate::suspects::{RecentStart, isolate_suspects};
@@ -53,7 +53,7 @@
         let mut next_due: Option<u64> = None;
         let mut found = Vec::new();
         let pools = self.pools();
-        let guide = Guide { times: &self.times, pools: &pools };
+        let estimator = Estimator { times: &self.times, pools: &pools };
         let mut jobs: Vec<(&Id, &Entry)> = self.jobs.iter().collect();
         jobs.sort_by_key(|(_, entry)| entry.version);
         for (id, entry) in jobs {
@@ -71,7 +71,7 @@
                         break;
                     }
                 }
-                let goal = guide.objective_of(entry, occurrence);
+                let goal = estimator.objective_of(entry, occurrence);
                 for (number, step) in (0u32..).zip(&entry.job.steps) {
                     let tasks = pending_tasks(entry, occurrence, number, step, id);
                     if tasks.is_empty() {
@@ -91,7 +91,7 @@
                             latest_start: goal.latest_start(),
                             version: entry.version,
                         };
-                        let work = core_weight(step) * guide.estimate(entry, number, step);
+                        let work = core_weight(step) * estimator.estimate(entry, number, step);
                         found.push(Candidate::new(id, (occurrence, number), group, rank, work));
                     }
                 }
--- a/crates/dispatch/src/settlement.rs
+++ b/crates/dispatch/src/settlement.rs
@@ -1,8 +1,8 @@
 //! Logs the members that a new owner waits for before it starts older jobs.
 
 use crate::close_reason::CloseReason;
-use crate::detail::list;
 use crate::owner::Owner;
+use crate::wait_detail::list;
 use crate::waits::MIN_LOGGED_WAIT_MS;
 
 /// Shortest time between two log lines about the members.
