--- a/crates/dispatch/src/clearance.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -44,18 +44,20 @@
 }
 
 /// Most workers in one request. Enough for most steps; a call's time grows with each worker.
-const MAX_WORKERS: usize = 12;
+const MAX_REQUESTED_WORKERS: usize = 12;
 /// Shortest remaining validity of a ticket that is used. A start may be tried three times, 400 ms
 /// apart.
-const MIN_VALIDITY_MS: u64 = 1300;
+const MIN_TICKET_VALIDITY_MS: u64 = 1300;
 /// Delay before the next request after one that got no answer.
-const RETRY_DELAY_MS: u64 = 300;
+const REQUEST_RETRY_DELAY_MS: u64 = 300;
 
 impl Clearance {
     /// The ticket for a worker, if it is valid for long enough.
     pub fn ticket(&self, worker: &Incarnation, now: u64) -> Option<&str> {
-        let held =
-            self.tickets.get(worker).filter(|ticket| ticket.expires_at >= now + MIN_VALIDITY_MS);
+        let held = self
+            .tickets
+            .get(worker)
+            .filter(|ticket| ticket.expires_at >= now + MIN_TICKET_VALIDITY_MS);
         held.map(|ticket| ticket.text.as_str())
     }
 
@@ -118,8 +120,8 @@
                 self.log("cleared", &request.job, detail);
             }
             None => {
-                clearance.retry_at = now + RETRY_DELAY_MS;
-                self.clearance_retry_at = Some(now + RETRY_DELAY_MS);
+                clearance.retry_at = now + REQUEST_RETRY_DELAY_MS;
+                self.clearance_retry_at = Some(now + REQUEST_RETRY_DELAY_MS);
                 self.log("not cleared", &request.job, "no answer".to_owned());
             }
         }
@@ -140,7 +142,7 @@
         let occurrence_step = (candidate.occurrence, candidate.step);
         let clearance = entry.clearances.entry(occurrence_step).or_default();
         let unknown = workers.into_iter().filter(|worker| clearance.needs_request(worker, now));
-        let workers: Vec<Incarnation> = unknown.take(MAX_WORKERS).collect();
+        let workers: Vec<Incarnation> = unknown.take(MAX_REQUESTED_WORKERS).collect();
         if workers.is_empty() {
             return;
         }
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -19,7 +19,7 @@
 use crate::owner::Owner;
 
 /// Shortest time between two checks whether evacuated zones are empty. Each check scans all runs.
-const CHECK_INTERVAL_MS: u64 = 250;
+const ZONE_CHECK_INTERVAL_MS: u64 = 250;
 
 /// How long before the evacuation deadline an owner that cannot read the operators' rows stops
 /// ordering starts: an agent tries a start three times, 400 ms apart. At most a third of the
@@ -109,7 +109,7 @@
     /// switched off.
     pub(crate) fn check_evacuated_zones(&mut self, now: u64) {
         if self.evacuation.zones.is_empty()
-            || now < self.evacuation.last_checked + CHECK_INTERVAL_MS
+            || now < self.evacuation.last_checked + ZONE_CHECK_INTERVAL_MS
         {
             return;
         }
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -16,12 +16,12 @@
 
 /// First time between two list requests about the same workers. It doubles with each request, since
 /// a partitioned worker stays listed.
-const FIRST_INTERVAL_MS: u64 = 300;
+const FIRST_LIST_INTERVAL_MS: u64 = 300;
 /// Longest time between two list requests about the same workers.
-const MAX_INTERVAL_MS: u64 = 2000;
+const MAX_LIST_INTERVAL_MS: u64 = 2000;
 /// Shortest time between two checks whether to request a list. A partition hits many workers at
 /// once.
-const CHECK_INTERVAL_MS: u64 = 100;
+const LIST_CHECK_INTERVAL_MS: u64 = 100;
 
 /// The state of the requests for machine lists.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// Time until the next request, if no further worker is missed.
     interval: u64,
     /// When the need for a list is next checked.
-    next_check: u64,
+    next_check_at: u64,
     /// Ids of missed workers that the last list did not name.
     unnamed: BTreeSet<String>,
 }
@@ -40,8 +40,8 @@
     fn default() -> Listing {
         Listing {
             requested_at: 0,
-            interval: FIRST_INTERVAL_MS,
-            next_check: 0,
+            interval: FIRST_LIST_INTERVAL_MS,
+            next_check_at: 0,
             unnamed: BTreeSet::new(),
         }
     }
@@ -51,12 +51,12 @@
     /// Requests a machine list if something runs at a worker that may have ended, or if older jobs
     /// wait for members that have not answered.
     pub(crate) fn poll_machines(&mut self, now: u64) {
-        if !self.settings.lists_machines || now < self.listing.next_check {
+        if !self.settings.lists_machines || now < self.listing.next_check_at {
             return;
         }
-        self.listing.next_check = now + CHECK_INTERVAL_MS;
+        self.listing.next_check_at = now + LIST_CHECK_INTERVAL_MS;
         let Some(newest) = self.missed_since(now) else {
-            self.listing.interval = FIRST_INTERVAL_MS;
+            self.listing.interval = FIRST_LIST_INTERVAL_MS;
             return;
         };
         let newly_missed = newest > self.listing.requested_at;
@@ -64,9 +64,9 @@
             return;
         }
         self.listing.interval = if newly_missed {
-            FIRST_INTERVAL_MS
+            FIRST_LIST_INTERVAL_MS
         } else {
-            (self.listing.interval * 2).min(MAX_INTERVAL_MS)
+            (self.listing.interval * 2).min(MAX_LIST_INTERVAL_MS)
         };
         self.listing.requested_at = now;
         self.outputs.push(Output::ListMachines);
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -1,6 +1,6 @@
-//! Waves of maintenance: which machine is taken down next, and when.
+//! Waves of maintenance: which machine is result down next, and when.
 //!
-//! The next machine is cordoned and taken down once it is idle, or earlier if the wave's time runs
+//! The next machine is cordoned and result down once it is idle, or earlier if the wave's time runs
 //! short. The number of machines that are down is never underestimated: a call without an answer
 //! may have been carried out, so its machine counts as down until a later machine list shows it up.
 //! Calls are idempotent, so a new owner, which does not know what was begun, repeats them.
@@ -29,7 +29,7 @@
 
 impl Maintenance {
     /// Machines that are up and that no wave has called since the list was requested. A machine
-    /// that a previous owner had already taken down stays up when it is called again.
+    /// that a previous owner had already result down stays up when it is called again.
     fn back_up(&self, sent: u64) -> Vec<String> {
         let idle = |name: &String| {
             self.waves.values().all(|state| {
@@ -50,7 +50,7 @@
     first_seen: u64,
     /// True if `first_seen` and `done` are recorded.
     recorded: bool,
-    /// Machines that have been taken down, or are not part of the wave, and when the platform
+    /// Machines that have been result down, or are not part of the wave, and when the platform
     /// said so.
     begun: BTreeMap<String, u64>,
     /// Machines whose call to take them down has no answer yet, and when it was last sent.
@@ -76,9 +76,9 @@
 }
 
 /// Time between two machine lists during a wave. The platform answers at most sixty a second.
-const LIST_INTERVAL_MS: u64 = 1000;
+const MACHINE_LIST_INTERVAL_MS: u64 = 1000;
 /// Time after which a call without an answer is repeated.
-const CALL_RETRY_MS: u64 = 1500;
+const TAKE_DOWN_RETRY_MS: u64 = 1500;
 /// Time that a machine takes beyond the maintenance itself: the calls and the next list.
 const TURN_OVERHEAD_MS: u64 = 2500;
 
@@ -89,7 +89,7 @@
         self.wave.machines.iter().filter(may_be_down).count()
     }
 
-    /// True if the machine is down for this wave, or a call that may have taken it down is newer
+    /// True if the machine is down for this wave, or a call that may have result it down is newer
     /// than the machine list.
     fn may_be_down(&self, name: &str, maintenance: &Maintenance) -> bool {
         let machine = maintenance.machines.get(name);
@@ -106,13 +106,13 @@
         }
     }
 
-    /// Listed machines of the wave that have not been taken down yet.
+    /// Listed machines of the wave that have not been result down yet.
     fn remaining<'a>(&'a self, maintenance: &'a Maintenance) -> impl Iterator<Item = &'a Machine> {
         let names = self.wave.machines.iter().filter(|name| !self.begun.contains_key(*name));
         names.filter_map(|name| maintenance.machines.get(name))
     }
 
-    /// True if each machine of the wave has been listed or taken down.
+    /// True if each machine of the wave has been listed or result down.
     fn all_known(&self, maintenance: &Maintenance) -> bool {
         let known = |name: &String| {
             maintenance.machines.contains_key(name) || self.begun.contains_key(name)
@@ -170,9 +170,9 @@
     }
 
     /// Handles the result of a call to take a machine down.
-    pub fn on_take_down(&mut self, number: u64, machine: &str, taken: TakeDownResult, now: u64) {
+    pub fn on_take_down(&mut self, number: u64, machine: &str, result: TakeDownResult, now: u64) {
         let Some(state) = self.maintenance.waves.get_mut(&number) else { return };
-        match taken {
+        match result {
             TakeDownResult::Begun => {
                 state.called.remove(machine);
                 state.begun.insert(machine.to_owned(), now);
@@ -192,7 +192,7 @@
                 self.outputs.push(Output::Deposed { epoch: self.epoch + 1 });
             }
         }
-        self.log("maintenance", machine, format!("wave {number}: {taken:?}"));
+        self.log("maintenance", machine, format!("wave {number}: {result:?}"));
     }
 
     /// Advances all waves that are not complete: requests lists, repeats calls and takes the next
@@ -206,7 +206,7 @@
         if open.is_empty() {
             return;
         }
-        if now >= self.maintenance.requested_at + LIST_INTERVAL_MS {
+        if now >= self.maintenance.requested_at + MACHINE_LIST_INTERVAL_MS {
             self.maintenance.requested_at = now;
             self.outputs.push(Output::ListMachines);
         }
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Lets a machine take work again that is not taken down after all, or not yet.
+    /// Lets a machine take work again that is not result down after all, or not yet.
     fn cancel_take_down(&mut self, machine: &str) {
         let worker = self.maintenance.machines.get(machine).map(|machine| machine.worker.clone());
         let name = worker.and_then(|worker| self.agent_of(&worker).map(str::to_owned));
@@ -255,7 +255,7 @@
         open.map(|(number, _)| *number).collect()
     }
 
-    /// Reports a wave as complete once every machine that still exists has been taken down.
+    /// Reports a wave as complete once every machine that still exists has been result down.
     fn finish_wave(&mut self, number: u64) {
         let maintenance = &self.maintenance;
         let Some(state) = maintenance.waves.get(&number) else { return };
@@ -274,7 +274,7 @@
     fn retry_calls(&mut self, number: u64, now: u64) {
         let Some(state) = self.maintenance.waves.get_mut(&number) else { return };
         for (machine, called) in &mut state.called {
-            if now >= *called + CALL_RETRY_MS {
+            if now >= *called + TAKE_DOWN_RETRY_MS {
                 *called = now;
                 let machine = machine.clone();
                 self.outputs.push(Output::TakeDown { wave: number, machine });
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -16,11 +16,11 @@
 
 /// Most jobs in one transaction. The table accepts 100 rows; the others are for the owner's row,
 /// checkpoints and deleted rows.
-const MAX_JOBS: usize = 50;
+const MAX_BATCH_JOBS: usize = 50;
 /// Most jobs whose checkpoints are in one transaction.
-const MAX_CHECKPOINTED_JOBS: usize = 15;
+const MAX_BATCH_CHECKPOINTS: usize = 15;
 /// Most departed agents whose rows one transaction deletes.
-const MAX_DEPARTED: usize = 8;
+const MAX_BATCH_DEPARTED_AGENTS: usize = 8;
 
 impl Owner {
     /// The next batch to record; none while one is in flight. [`Owner::on_recorded`] must follow.
@@ -28,7 +28,7 @@
         if self.record_in_flight {
             return None;
         }
-        let ids: Vec<Id> = self.dirty.iter().take(MAX_JOBS).cloned().collect();
+        let ids: Vec<Id> = self.dirty.iter().take(MAX_BATCH_JOBS).cloned().collect();
         let mut batch =
             Batch { times: self.times_changed.then(|| self.times.clone()), ..Batch::default() };
         self.times_changed = false;
@@ -48,7 +48,8 @@
             }
             self.dirty_urgent = false;
         }
-        batch.departed = self.departed_agents().into_iter().take(MAX_DEPARTED).collect();
+        batch.departed =
+            self.departed_agents().into_iter().take(MAX_BATCH_DEPARTED_AGENTS).collect();
         self.set_dropping(&batch.departed, true);
         batch.checkpoints = self.due_checkpoints();
         batch.waves = self.unrecorded_waves();
@@ -65,7 +66,7 @@
         };
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter_mut() {
-            if found.len() < MAX_CHECKPOINTED_JOBS && due(&entry) {
+            if found.len() < MAX_BATCH_CHECKPOINTS && due(&entry) {
                 entry.checkpoints_dirty = false;
                 entry.checkpoints_recorded_at = now;
                 found.push((id.clone(), entry.open_checkpoints(id)));
--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -27,13 +27,13 @@
             return;
         }
         self.review.next_at = now + REVIEW_INTERVAL_MS;
-        let shut = |agent| CloseReason::of(agent, &self.settings, now).is_some();
-        let agents = self.agents.iter().filter(|(_, agent)| shut(agent));
-        let shut: Vec<String> = agents.map(|(name, _)| name.clone()).collect();
-        if shut == self.review.closed_agents {
+        let closed = |agent| CloseReason::of(agent, &self.settings, now).is_some();
+        let agents = self.agents.iter().filter(|(_, agent)| closed(agent));
+        let closed: Vec<String> = agents.map(|(name, _)| name.clone()).collect();
+        if closed == self.review.closed_agents {
             return;
         }
-        self.review.closed_agents = shut;
+        self.review.closed_agents = closed;
         let waits = self.waits.waiting_for_workers();
         if waits.is_empty() {
             return;
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -1,7 +1,7 @@
 //! Tasks suspected of crashing the workers that start them.
 //!
 //! A task that was just started at a worker when it crashed is a suspect. Suspects are retried in
-//! isolation, cleared once they outlive a start, and their job fails after [`CRASHES`] crashes.
+//! isolation, cleared once they outlive a start, and their job fails after [`CRASH_LIMIT`] crashes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
 
 /// Most crashes with several suspects that are remembered. A task that is retried alone crashes
 /// its worker within a second, and few workers crash in that time.
-const MAX_SHARED_CRASHES: usize = 32;
+const MAX_SUSPECT_GROUPS: usize = 32;
 
 /// A worker that broke its connections, and the starts that may have crashed it.
 #[derive(Clone, Debug)]
@@ -70,7 +70,7 @@
             [(culprit, _)] => self.exonerate_others(culprit),
             _ => {
                 self.suspect_groups.push(starts.into_iter().map(|(task, _)| task).collect());
-                if self.suspect_groups.len() > MAX_SHARED_CRASHES {
+                if self.suspect_groups.len() > MAX_SUSPECT_GROUPS {
                     self.suspect_groups.remove(0);
                 }
             }
@@ -132,7 +132,7 @@
     }
 
     /// Clears suspicions after a worker's answer, received at `stamp` by its agent's clock: the
-    /// worker has not crashed, and runs listed for at least `APART` have outlived their starts.
+    /// worker has not crashed, and runs listed for at least [`START_ISOLATION_MS`] have outlived their starts.
     pub(crate) fn clear_suspects(
         &mut self,
         name: &str,
--- a/crates/dispatch/src/times.rs
+++ b/crates/dispatch/src/times.rs
@@ -28,19 +28,19 @@
 }
 
 /// Number of completed steps below which a queue's estimates are used unchanged.
-const MIN_STEPS: f64 = 3.0;
+const MIN_STEP_COUNT: f64 = 3.0;
 /// When this many steps are counted, the weight of all of them is halved, so that the estimates
 /// adapt within as many further steps when a queue's work changes.
-const HALVING_COUNT: f64 = 64.0;
+const HALVING_STEP_COUNT: f64 = 64.0;
 /// Lower bound of both variances, in squares of natural logarithms: a deviation of a tenth. A
 /// few equal samples must not count as certainty.
-const MIN_VARIANCE: f64 = 0.01;
+const MIN_LOG_VARIANCE: f64 = 0.01;
 
 impl Times {
     /// Adds a completed step of the queue, with its estimate and run time in milliseconds.
     pub fn record(&mut self, queue: &str, estimate: u64, took: u64) {
         let sums = self.queues.entry(queue.to_owned()).or_default();
-        if sums.count >= HALVING_COUNT {
+        if sums.count >= HALVING_STEP_COUNT {
             sums.halve();
         }
         let time = (took.max(1) as f64).ln();
@@ -55,7 +55,7 @@
     /// Returns the expected run time of a step of the queue, given the client's estimate, both in
     /// milliseconds.
     pub fn estimate(&self, queue: &str, estimate: u64) -> u64 {
-        let Some(sums) = self.queues.get(queue).filter(|sums| sums.count >= MIN_STEPS) else {
+        let Some(sums) = self.queues.get(queue).filter(|sums| sums.count >= MIN_STEP_COUNT) else {
             return estimate;
         };
         let (time, spread) = moments(sums.time, sums.time_squares, sums.count);
@@ -80,8 +80,8 @@
     }
 }
 
-/// Returns the mean, and the variance or [`MIN_VARIANCE`] if that is higher.
+/// Returns the mean, and the variance or [`MIN_LOG_VARIANCE`] if that is higher.
 fn moments(sum: f64, squares: f64, count: f64) -> (f64, f64) {
     let mean = sum / count;
-    (mean, (squares / count - mean * mean).max(MIN_VARIANCE))
+    (mean, (squares / count - mean * mean).max(MIN_LOG_VARIANCE))
 }
--- a/crates/dispatch/src/unanswered_writes.rs
+++ b/crates/dispatch/src/unanswered_writes.rs
@@ -14,17 +14,17 @@
 
 /// How long an unanswered write is remembered: many times longer than a write takes, and longer
 /// than clients retry.
-const RETENTION_MS: u64 = 120_000;
+const WRITE_RETENTION_MS: u64 = 120_000;
 /// Most writes that are remembered; the oldest are evicted first.
-const MAX_WRITES: usize = 10_000;
+const MAX_UNANSWERED_WRITES: usize = 10_000;
 
 impl UnansweredWrites {
     /// Records that the write of a job got no answer.
     pub fn record(&mut self, id: &str, now: u64) {
-        if self.since.len() >= MAX_WRITES {
-            self.since.retain(|_, since| now < *since + RETENTION_MS);
+        if self.since.len() >= MAX_UNANSWERED_WRITES {
+            self.since.retain(|_, since| now < *since + WRITE_RETENTION_MS);
         }
-        if self.since.len() >= MAX_WRITES {
+        if self.since.len() >= MAX_UNANSWERED_WRITES {
             let oldest = self.since.iter().min_by_key(|(_, since)| **since);
             if let Some(id) = oldest.map(|(id, _)| id.clone()) {
                 self.since.remove(&id);
@@ -40,6 +40,6 @@
 
     /// True if it is unknown whether the job was accepted.
     pub fn contains(&self, id: &str, now: u64) -> bool {
-        self.since.get(id).is_some_and(|since| now < *since + RETENTION_MS)
+        self.since.get(id).is_some_and(|since| now < *since + WRITE_RETENTION_MS)
     }
 }
--- a/crates/dispatch/src/unlisted_runs.rs
+++ b/crates/dispatch/src/unlisted_runs.rs
@@ -6,12 +6,12 @@
 use crate::owner::{Owner, task};
 
 /// Shortest time between two scans for such runs. Each scan covers all runs.
-const SCAN_INTERVAL_MS: u64 = 1000;
+const RUN_SCAN_INTERVAL_MS: u64 = 1000;
 
 impl Owner {
     /// The number of such runs that have not been listed for more than a second.
     pub fn unlisted_runs(&self) -> usize {
-        self.not_listed_for(self.now, SCAN_INTERVAL_MS).len()
+        self.not_listed_for(self.now, RUN_SCAN_INTERVAL_MS).len()
     }
 
     /// Stops runs that have not been listed for `missing_timeout`.
@@ -21,7 +21,7 @@
     /// worker that received a stop never starts the run, so its task may start elsewhere once the
     /// stop is confirmed and the next poll does not list the run.
     pub(crate) fn stop_unlisted(&mut self, now: u64) {
-        if now < self.unlisted_checked_at + SCAN_INTERVAL_MS {
+        if now < self.unlisted_checked_at + RUN_SCAN_INTERVAL_MS {
             return;
         }
         self.unlisted_checked_at = now;
--- a/crates/dispatch/src/wait_detail.rs
+++ b/crates/dispatch/src/wait_detail.rs
@@ -9,7 +9,7 @@
 use crate::waits::{StepKey, Wait};
 
 /// Most names in one log line.
-const MAX_NAMES: usize = 8;
+const MAX_LISTED_NAMES: usize = 8;
 
 impl Owner {
     /// Formats what an operator should check, depending on the cause of the wait.
@@ -50,7 +50,7 @@
             .filter_map(|(name, agent)| {
                 Some((name, CloseReason::of(agent, &self.settings, self.now)?))
             })
-            .map(|(name, lack)| format!("{name} {}", lack.name()))
+            .map(|(name, reason)| format!("{name} {}", reason.name()))
             .collect()
     }
 
@@ -92,11 +92,11 @@
     format!("at {}, since {since} ms", list(reservation.agents.clone()))
 }
 
-/// Joins the first [`MAX_NAMES`] names and the number of the others.
+/// Joins the first [`MAX_LISTED_NAMES`] names and the number of the others.
 pub(crate) fn list(mut names: Vec<String>) -> String {
     names.dedup();
-    let more = names.len().saturating_sub(MAX_NAMES);
-    names.truncate(MAX_NAMES);
+    let more = names.len().saturating_sub(MAX_LISTED_NAMES);
+    names.truncate(MAX_LISTED_NAMES);
     let names = names.join(", ");
     if more > 0 { format!("{names} and {more} more") } else { names }
 }
--- a/crates/dispatch/src/waits.rs
+++ b/crates/dispatch/src/waits.rs
@@ -15,7 +15,7 @@
 /// thousands of jobs may wait.
 const MAX_LINES_PER_SECOND: usize = 10;
 /// Length of the interval to which [`MAX_LINES_PER_SECOND`] applies.
-const SECOND_MS: u64 = 1000;
+const RATE_LIMIT_PERIOD_MS: u64 = 1000;
 
 /// Identifies one occurrence of a step: job, occurrence, step.
 pub(crate) type StepKey = (Id, u32, u32);
@@ -136,7 +136,7 @@
     /// Returns the waits to log now, longest first, and the number of those that exceed the rate
     /// limit by cause. The latter is empty except in the first call of each second.
     pub fn take_due_lines(&mut self, now: u64) -> (Vec<(StepKey, Wait)>, BTreeMap<Cause, usize>) {
-        if now >= self.second_began_at + SECOND_MS {
+        if now >= self.second_began_at + RATE_LIMIT_PERIOD_MS {
             self.second_began_at = now;
             self.lines_in_second = 0;
         }
@@ -152,7 +152,7 @@
             ready.into_iter().map(|(step, wait)| (step.clone(), wait.mark_logged(now))).collect();
         let mut left = BTreeMap::new();
         rest.iter().for_each(|(_, wait)| *left.entry(wait.cause).or_default() += 1);
-        let again = (!left.is_empty()).then_some(self.second_began_at + SECOND_MS);
+        let again = (!left.is_empty()).then_some(self.second_began_at + RATE_LIMIT_PERIOD_MS);
         self.next_line_at = [later, again].into_iter().flatten().min();
         self.lines_in_second += Vec::len(&due);
         (due, if fresh { left } else { BTreeMap::new() })
