--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -68,7 +68,7 @@
     /// Number of the last end that was acknowledged to the worker, which then forgets it.
     pub acknowledged_end: u64,
     /// Until when other workers are preferred because of failures or refusals here.
-    pub doubted_until: u64,
+    pub deprioritized_until: u64,
     /// Until when the worker is slow because it has just started, so that others are preferred.
     pub cold_until: u64,
     /// Number of runs that failed there in a row.
--- a/crates/dispatch/src/cause.rs
+++ b/crates/dispatch/src/cause.rs
@@ -5,7 +5,7 @@
     Unsettled,
     /// Runs of an earlier start of the gang may still exist.
     Remains,
-    /// There is no configuration yet, and without one no guarantee for which room is made.
+    /// There is no configuration yet, and without one no guarantee for which to preempt other work.
     Unconfigured,
     /// No worker of the pool is known.
     Pool,
@@ -15,19 +15,19 @@
     Closed,
     /// The workers could not hold them even if nothing else ran.
     Few,
-    /// Other work takes the room.
+    /// Other work takes the capacity.
     Room,
-    /// The room is kept free for more urgent work.
+    /// Capacity is kept free for more urgent work.
     Spared,
-    /// There is room, but not in a single rack.
+    /// There is capacity, but not in a single rack.
     Rack,
-    /// Room is reserved for them, but the work there has not stopped yet.
+    /// Capacity is reserved for them, but the work there has not stopped yet.
     Reserved,
-    /// They are not cleared for the workers that have room.
+    /// They are not cleared for the workers that have capacity.
     Clearance,
-    /// They failed recently at the workers that have room.
+    /// They failed recently at the workers that have capacity.
     Avoided,
-    /// They are kept apart from other starts at the workers that have room, since one of them
+    /// They are kept apart from other starts at the workers that have capacity, since one of them
     /// may crash its worker.
     Apart,
 }
--- a/crates/dispatch/src/clearance.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -2,8 +2,8 @@
 //!
 //! An external service decides which workers may run a step. It answers one call at a time, and a
 //! call's time grows with its number of workers. So a step requests clearance for a few workers,
-//! those with the most room first, and for more only while tasks have no place. A refusal is final,
-//! and an expired ticket is requested again.
+//! those with the most free capacity first, and for more only while tasks have no worker. A refusal
+//! is final, and an expired ticket is requested again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -128,7 +128,7 @@
     }
 
     /// Requests clearance for the candidate's step, one request at a time. `workers` are ordered by
-    /// free room, the largest first.
+    /// free capacity, the largest first.
     pub(crate) fn request_clearance(
         &mut self,
         candidate: &Candidate,
--- a/crates/dispatch/src/diagnosis.rs
+++ b/crates/dispatch/src/diagnosis.rs
@@ -30,7 +30,7 @@
         counts
     }
 
-    /// Records that a step waits for its reserved room. Returns false if it has none.
+    /// Records that a step waits for its reserved capacity. Returns false if it has none.
     pub(crate) fn record_reserved_wait(&mut self, candidate: &Candidate, now: u64) -> bool {
         let occurrence_step = (candidate.occurrence, candidate.step);
         let reserved = |entry: &Entry| entry.reservations.contains_key(&occurrence_step);
@@ -55,11 +55,9 @@
         if left == 0 || self.record_reserved_wait(candidate, now) {
             return;
         }
-        let step_key = step_key_of(candidate);
-        let Some((cause, room)) = self.cause(&step_key, left, &snapshot.workers, limits) else {
-            return;
-        };
-        self.waits.record(step_key, (left, cause), room, now);
+        let key = step_key_of(candidate);
+        let Some((cause, room)) = self.cause(&key, left, &snapshot.workers, limits) else { return };
+        self.waits.record(key, (left, cause), room, now);
     }
 
     /// Returns why this number of tasks of a step does not start on `workers`, how many of
--- a/crates/dispatch/src/dismissal.rs
+++ b/crates/dispatch/src/dismissal.rs
@@ -49,11 +49,11 @@
 impl Owner {
     /// Marks whether the rows of these agents are being deleted. Nothing starts there while the
     /// write is in flight, or a run could end up at an agent that is no member.
-    pub(crate) fn set_dropping(&mut self, names: &[String], dropping: bool) {
+    pub(crate) fn set_removal_pending(&mut self, names: &[String], pending: bool) {
         for name in names {
             if let Some(agent) = self.agents.get_mut(name) {
-                agent.removal_pending = dropping;
-                self.replan |= !dropping;
+                agent.removal_pending = pending;
+                self.replan |= !pending;
             }
         }
     }
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -45,7 +45,7 @@
     /// Whether guaranteed capacity was taken from this job because no other work could make
     /// room for another guarantee in time.
     pub guarantee_preempted: bool,
-    /// Room that is being made for steps, by occurrence and step.
+    /// Capacity that is being freed for steps, by occurrence and step.
     pub reservations: BTreeMap<(u32, u32), Reservation>,
     /// Tasks whose worker kept running after it had started them, so that they are not
     /// suspected of crashing it. A gang is listed at index 0.
@@ -135,12 +135,12 @@
     Stopping,
 }
 
-/// Workers whose room is reserved for a step while other work there is being stopped.
+/// Workers whose capacity is reserved for a step while other work there is being stopped.
 #[derive(Clone, Debug)]
 pub(crate) struct Reservation {
     /// The agent chosen for each task.
     pub agents: Vec<String>,
-    /// When the room was reserved.
+    /// When the capacity was reserved.
     pub made_at: u64,
 }
 
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -1,6 +1,6 @@
-//! Waves of maintenance: which machine is result down next, and when.
+//! Waves of maintenance: which machine is taken down next, and when.
 //!
-//! The next machine is cordoned and result down once it is idle, or earlier if the wave's time runs
+//! The next machine is cordoned and taken down once it is idle, or earlier if the wave's time runs
 //! short. The number of machines that are down is never underestimated: a call without an answer
 //! may have been carried out, so its machine counts as down until a later machine list shows it up.
 //! Calls are idempotent, so a new owner, which does not know what was begun, repeats them.
@@ -29,7 +29,7 @@
 
 impl Maintenance {
     /// Machines that are up and that no wave has called since the list was requested. A machine
-    /// that a previous owner had already result down stays up when it is called again.
+    /// that a previous owner had already taken down stays up when it is called again.
     fn back_up(&self, sent: u64) -> Vec<String> {
         let idle = |name: &String| {
             self.waves.values().all(|state| {
@@ -50,7 +50,7 @@
     first_seen: u64,
     /// True if `first_seen` and `done` are recorded.
     recorded: bool,
-    /// Machines that have been result down, or are not part of the wave, and when the platform
+    /// Machines that have been taken down, or are not part of the wave, and when the platform
     /// said so.
     begun: BTreeMap<String, u64>,
     /// Machines whose call to take them down has no answer yet, and when it was last sent.
@@ -89,7 +89,7 @@
         self.wave.machines.iter().filter(may_be_down).count()
     }
 
-    /// True if the machine is down for this wave, or a call that may have result it down is newer
+    /// True if the machine is down for this wave, or a call that may have taken it down is newer
     /// than the machine list.
     fn may_be_down(&self, name: &str, maintenance: &Maintenance) -> bool {
         let machine = maintenance.machines.get(name);
@@ -106,13 +106,13 @@
         }
     }
 
-    /// Listed machines of the wave that have not been result down yet.
+    /// Listed machines of the wave that have not been taken down yet.
     fn remaining<'a>(&'a self, maintenance: &'a Maintenance) -> impl Iterator<Item = &'a Machine> {
         let names = self.wave.machines.iter().filter(|name| !self.begun.contains_key(*name));
         names.filter_map(|name| maintenance.machines.get(name))
     }
 
-    /// True if each machine of the wave has been listed or result down.
+    /// True if each machine of the wave has been listed or taken down.
     fn all_known(&self, maintenance: &Maintenance) -> bool {
         let known = |name: &String| {
             maintenance.machines.contains_key(name) || self.begun.contains_key(name)
@@ -146,7 +146,7 @@
     }
 
     /// True if the wave was added before.
-    pub fn knows_wave(&self, number: u64) -> bool {
+    pub fn has_wave(&self, number: u64) -> bool {
         self.maintenance.waves.contains_key(&number)
     }
 
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Lets a machine take work again that is not result down after all, or not yet.
+    /// Lets a machine take work again that is not taken down after all, or not yet.
     fn cancel_take_down(&mut self, machine: &str) {
         let worker = self.maintenance.machines.get(machine).map(|machine| machine.worker.clone());
         let name = worker.and_then(|worker| self.agent_of(&worker).map(str::to_owned));
@@ -255,7 +255,7 @@
         open.map(|(number, _)| *number).collect()
     }
 
-    /// Reports a wave as complete once every machine that still exists has been result down.
+    /// Reports a wave as complete once every machine that still exists has been taken down.
     fn finish_wave(&mut self, number: u64) {
         let maintenance = &self.maintenance;
         let Some(state) = maintenance.waves.get(&number) else { return };
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -115,7 +115,7 @@
 
     /// Closes connections without traffic for `connection_timeout`. A connection may stay open
     /// without carrying data while a new one would; only the missing pings reveal it.
-    pub(crate) fn close_unresponsive(&mut self, now: u64) {
+    pub(crate) fn close_silent_connections(&mut self, now: u64) {
         let bound = self.settings.connection_timeout;
         let silent = self.agents.values().filter(|agent| now > agent.last_notice_at + bound);
         let links: Vec<LinkId> = silent.filter_map(|agent| agent.link).collect();
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -134,7 +134,7 @@
         }
         let (kind, name) = change.key.split_once('/')?;
         let Some(value) = &change.value else {
-            self.drop(kind, name);
+            self.remove_row(kind, name);
             return (kind == "node").then(|| RowEvent::NodeRemoved(name.to_owned()));
         };
         let read = match kind {
@@ -269,7 +269,7 @@
         }
     }
 
-    fn drop(&mut self, kind: &str, name: &str) {
+    fn remove_row(&mut self, kind: &str, name: &str) {
         match kind {
             "job" => {
                 self.jobs.remove(name);
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -344,7 +344,7 @@
         }
         self.poll_machines(now);
         self.advance_waves(now, wall);
-        // Without this, a job whose reserved room did not become free would wait next to idle
+        // Without this, a job whose reserved capacity did not become free would wait next to idle
         // workers until some other event caused a plan.
         self.replan |= self.reservation_ends_at.take_if(|at| *at <= now).is_some();
         let due = self.replan_at.is_some_and(|due| due <= wall);
@@ -363,7 +363,7 @@
         for agent in self.agents.values_mut() {
             agent.update_liveness(&self.settings, now);
         }
-        self.close_unresponsive(now);
+        self.close_silent_connections(now);
         self.expire_leases(now);
         self.stop_unlisted(now);
         self.check_evacuated_zones(now);
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -28,8 +28,8 @@
             entry.idle_since = entry.runs.is_empty().then(|| entry.idle_since.unwrap_or(now));
         }
         let mut candidates = self.candidates(wall);
-        // Guaranteed work whose room is being made comes first. Otherwise work that ranks
-        // before it would take that room, and both would be late in turn.
+        // Guaranteed work whose capacity is being freed comes first. Otherwise work that ranks
+        // before it would take that capacity, and both would be late in turn.
         candidates
             .sort_by_key(|candidate| (!self.has_reserved_guarantee(candidate), candidate.rank));
         let mut snapshot = self.snapshot(now);
@@ -80,7 +80,7 @@
                     for group in isolate_suspects(id, entry, (occurrence, number), tasks, now) {
                         let need = step.need.accelerators * group.0.len() as u64;
                         // A job that was preempted for a guarantee is not covered by its own any
-                        // more: it would take back the room that was made for the other job.
+                        // more: it would take back the capacity that was freed for the other job.
                         let covered = entry.job.queue.priority == 0
                             && !entry.guarantee_preempted
                             && guarantees.try_use(&entry.job.team, need);
@@ -102,7 +102,7 @@
         found
     }
 
-    /// Returns whether room is reserved for the candidate under its team's guarantee.
+    /// Returns whether capacity is reserved for the candidate under its team's guarantee.
     fn has_reserved_guarantee(&self, candidate: &Candidate) -> bool {
         let occurrence_step = (candidate.occurrence, candidate.step);
         let entry = self.jobs.get(&candidate.id);
@@ -310,7 +310,7 @@
         // Nothing is stopped for a task that may crash the worker that it is given.
         let may_preempt = candidate.rank.may_preempt() && !candidate.suspect;
         if may_preempt && started < candidate.tasks.len() {
-            self.make_room(candidate, step, pool, started, snapshot, (now, wall));
+            self.preempt_for(candidate, step, pool, started, snapshot, (now, wall));
         }
         kept_free
     }
@@ -319,7 +319,7 @@
     /// since 1970; none if it may use them now.
     ///
     /// While half of the pool is free, a job of which nothing runs defers for
-    /// [`MAX_IDLE_DEFERRAL_MS`] at most. Urgent work finds room there anyway, and users would
+    /// [`MAX_IDLE_DEFERRAL_MS`] at most. Urgent work finds capacity there anyway, and users would
     /// not understand a job that waits next to idle workers until its deadline is near.
     fn deferred_until(
         &self,
@@ -348,8 +348,8 @@
         queue.unwrap_or(&entry.job.queue).pool.clone()
     }
 
-    /// Orders the start of tasks on the chosen workers. `pairs` holds the index of each task and that
-    /// of its worker in the snapshot.
+    /// Orders the start of tasks on the chosen workers. `pairs` holds the index of each task and
+    /// that of its worker in the snapshot.
     pub(crate) fn start_tasks(
         &mut self,
         candidate: &Candidate,
@@ -482,5 +482,5 @@
 const MAX_IDLE_DEFERRAL_MS: u64 = 1500;
 
 /// How long a gang that prefers a single rack waits for one while half of the pool is free. A
-/// stop takes up to 900 ms, so room that is made for the gang becomes free sooner.
+/// stop takes up to 900 ms, so capacity for the gang becomes free sooner.
 const SINGLE_RACK_WAIT_MS: u64 = 2000;
--- a/crates/dispatch/src/preemption.rs
+++ b/crates/dispatch/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: stopping work to make room for a step, and reserving that room until it is free.
+//! Preemption: stopping work to make room for a step, and reserving that capacity until it is free.
 
 use std::collections::BTreeSet;
 
@@ -14,8 +14,8 @@
 use crate::suspects::RecentStart;
 
 impl Owner {
-    /// Starts a step on the room reserved for it, or keeps the reservation if the room is not
-    /// free yet. Returns false if the reservation is void.
+    /// Starts a step on the capacity reserved for it, or keeps the reservation if that
+    /// is not free yet. Returns false if the reservation is void.
     pub(crate) fn use_reservation(
         &mut self,
         candidate: &Candidate,
@@ -67,7 +67,7 @@
                 workers[index].reserve(&need);
                 fits
             });
-            // Otherwise a candidate with a better rank has taken the room.
+            // Otherwise a candidate with a better rank has taken the capacity.
             if fits_soon {
                 snapshot.workers = workers;
                 self.track_reservation_end(until);
@@ -88,9 +88,10 @@
             Some(self.reservation_ends_at.map_or(until, |known| known.min(until)));
     }
 
-    /// Stops work that the candidate may preempt, and reserves the room for its tasks from index
-    /// `started` on. Does nothing if no such work makes enough room or if the loss is too high.
-    pub(crate) fn make_room(
+    /// Stops work that the candidate may preempt, and reserves the capacity for its tasks from
+    /// index `started` on. Does nothing if no such work frees enough capacity or if the loss is too
+    /// high.
+    pub(crate) fn preempt_for(
         &mut self,
         candidate: &Candidate,
         step: &Step,
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -50,7 +50,7 @@
         }
         batch.departed =
             self.departed_agents().into_iter().take(MAX_BATCH_DEPARTED_AGENTS).collect();
-        self.set_dropping(&batch.departed, true);
+        self.set_removal_pending(&batch.departed, true);
         batch.checkpoints = self.due_checkpoints();
         batch.waves = self.unrecorded_waves();
         self.record_in_flight = true;
@@ -115,7 +115,7 @@
     pub fn on_recorded(&mut self, batch: &Batch, done: bool) {
         self.record_in_flight = false;
         if !done {
-            self.set_dropping(&batch.departed, false);
+            self.set_removal_pending(&batch.departed, false);
             for (id, _) in &batch.jobs {
                 self.dirty.insert(id.clone());
             }
--- a/crates/dispatch/src/refusals.rs
+++ b/crates/dispatch/src/refusals.rs
@@ -5,8 +5,8 @@
 
 /// First back-off after a refused start: about ten times what a start and its refusal take.
 const FIRST_BACKOFF_MS: u64 = 50;
-/// Most doublings of the back-off, to 1.6 s. That delays work for a worker with room again by half
-/// of it on average, and costs less than one refused start a second.
+/// Most doublings of the back-off, to 1.6 s. That delays work for a worker with capacity again by
+/// half of it on average, and costs less than one refused start a second.
 const MAX_DOUBLINGS: u32 = 5;
 
 /// Consecutive starts that one worker refused.
@@ -27,12 +27,12 @@
 
 impl Owner {
     /// Starts a back-off for a worker that refused a start although it appeared to fit: it has less
-    /// room than recorded, or is unhealthy. Without the back-off it would refuse hundreds of starts
-    /// a second where no other worker suits the task.
+    /// capacity than recorded, or is unhealthy. Without the back-off it would refuse hundreds of
+    /// starts a second where no other worker suits the task.
     pub(crate) fn back_off(&mut self, name: &str, now: u64) {
         let last = now + self.settings.failure_cooldown / 10;
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.doubted_until = agent.doubted_until.max(last);
+            agent.deprioritized_until = agent.deprioritized_until.max(last);
             agent.refusals.record(now);
         }
     }
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -40,7 +40,7 @@
             agent.last_end = 0;
             agent.acknowledged_end = 0;
             agent.consecutive_failures = 0;
-            agent.doubted_until = 0;
+            agent.deprioritized_until = 0;
             agent.quarantine.reset();
             agent.refusals = Refusals::default();
             agent.shutdown_requested = false;
@@ -79,7 +79,7 @@
         if fenced {
             self.clear_suspects(name, &from, running, stamp);
             self.throttle(name, running);
-            self.drop_missing(name, running, now);
+            self.remove_missing_runs(name, running, now);
             self.stop_stalled_runs(name, now);
         }
         if first_answer {
@@ -250,7 +250,7 @@
     }
 
     /// Drops runs that the worker has not listed for `missing_timeout`.
-    fn drop_missing(&mut self, name: &str, running: &[Run], now: u64) {
+    fn remove_missing_runs(&mut self, name: &str, running: &[Run], now: u64) {
         let bound = self.settings.missing_timeout;
         let Some(agent) = self.agents.get_mut(name) else { return };
         // The scan covers all runs and statuses arrive with each end, so it is rate-limited.
@@ -298,7 +298,7 @@
             format!("{} run {} {:?} at {name}{timing}", end.task, end.run, end.how),
         );
         if matches!(end.how, How::Done | How::Failed) {
-            self.on_start_outlived(&end.task);
+            self.on_start_survived(&end.task);
         }
         match end.how {
             How::Done => {
@@ -347,7 +347,7 @@
     fn on_done(&mut self, name: &str, task: &Task, now: u64) {
         if let Some(agent) = self.agents.get_mut(name) {
             agent.consecutive_failures = 0;
-            agent.doubted_until = 0;
+            agent.deprioritized_until = 0;
             agent.quarantine.reset();
         }
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
@@ -375,7 +375,8 @@
         let cooldown = self.settings.failure_cooldown;
         if let Some(agent) = self.agents.get_mut(name) {
             agent.consecutive_failures += 1;
-            agent.doubted_until = now + cooldown * u64::from(agent.consecutive_failures.min(3));
+            agent.deprioritized_until =
+                now + cooldown * u64::from(agent.consecutive_failures.min(3));
         }
         self.record_failure(name, task, now);
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
@@ -459,7 +460,7 @@
     }
 
     /// Stops all members of the task's gang, if it is in one. Called when one member does not
-    /// start: the others would wait in vain and hold their places.
+    /// start: the others would wait in vain and hold their workers.
     fn stop_gang(&mut self, id: &str, key: Key, now: u64) {
         let Some(entry) = self.jobs.get(id) else { return };
         if !entry.step(key).is_some_and(|step| step.gang) {
--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -1,7 +1,7 @@
 //! Re-evaluates why steps wait when workers have closed or opened without a round of planning.
 //!
 //! A worker that drains or stops responding lets nothing new start, so it causes no planning.
-//! A step that waited for room may then wait for that worker instead.
+//! A step that waited for capacity may then wait for that worker instead.
 
 use crate::cause::Cause;
 use crate::close_reason::CloseReason;
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -30,7 +30,8 @@
     pub grants_stop_after: u64,
     /// How long a worker at which a run failed is the last choice for new runs.
     pub failure_cooldown: u64,
-    /// How long room that was made for a step is reserved for it. Several times what a stop takes.
+    /// How long capacity that was freed for a step is reserved for it. Several times what a stop
+    /// takes.
     pub reservation_ttl: u64,
     /// Longest time that a worker takes to stop a run.
     pub stop_timeout: u64,
@@ -40,7 +41,7 @@
     /// Time after which nothing may start any more in a zone whose evacuation was confirmed to the
     /// operators; none on a deployment where zones are not evacuated.
     pub evacuation_deadline: Option<u64>,
-    /// Time after the acceptance of a job within which guaranteed room is given to it.
+    /// Time after the acceptance of a job within which guaranteed capacity is given to it.
     pub reclaim_deadline: u64,
     /// Time beyond its leases after which an agent without a connection or a worker is removed
     /// from the members. It announces itself again when its worker reports.
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Returns the indexes of all workers, those with the fewest accelerators and CPUs in use first.
+    /// Returns the indexes of all workers, those with the fewest accelerators and CPUs in use
+    /// first.
     pub fn least_used(&self) -> Vec<usize> {
         let used = |index: &usize| {
             let (worker, free) = (&self.workers[*index], self.workers[*index].free);
@@ -72,7 +73,8 @@
         indexes
     }
 
-    /// Returns the restriction that applies to a step at each worker; empty if there is none at all.
+    /// Returns the restriction that applies to a step at each worker; empty if there is none at
+    /// all.
     pub fn restrictions(&self, kept_free: &[usize], excluded: &Exclusions) -> Vec<Restriction> {
         let kinds = [
             (kept_free, Restriction::Spared),
@@ -113,7 +115,7 @@
                 free: self.capacity_without_strays(agent, worker.capacity),
                 stopping: Resources::default(),
                 ending: Resources::default(),
-                deprioritized: agent.doubted_until.max(agent.cold_until) > now
+                deprioritized: agent.deprioritized_until.max(agent.cold_until) > now
                     || agent.silent_ms > self.settings.unresponsive_after / 2,
                 preemptible: Vec::new(),
             });
--- a/crates/dispatch/src/stalled_runs.rs
+++ b/crates/dispatch/src/stalled_runs.rs
@@ -26,7 +26,8 @@
             return;
         }
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.doubted_until = agent.doubted_until.max(now + self.settings.failure_cooldown);
+            agent.deprioritized_until =
+                agent.deprioritized_until.max(now + self.settings.failure_cooldown);
         }
         for (id, key) in found {
             self.log("run moved", &id, format!("{key:?} at {name} stands still"));
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -132,7 +132,8 @@
     }
 
     /// Clears suspicions after a worker's answer, received at `stamp` by its agent's clock: the
-    /// worker has not crashed, and runs listed for at least [`START_ISOLATION_MS`] have outlived their starts.
+    /// worker has not crashed, and runs listed for at least [`START_ISOLATION_MS`] have outlived
+    /// their starts.
     pub(crate) fn clear_suspects(
         &mut self,
         name: &str,
@@ -154,14 +155,14 @@
             placed.first_listed_at = Some(first);
             placed.survived_start = stamp >= first + START_ISOLATION_MS;
             if placed.survived_start && entry.gang_survived_start(task_key(&run.task)) {
-                self.on_start_outlived(&run.task);
+                self.on_start_survived(&run.task);
             }
         }
     }
 
     /// Clears a task that outlived its start together with its gang. A task that crashes workers
     /// crashes each one it starts at.
-    pub(crate) fn on_start_outlived(&mut self, task: &Task) {
+    pub(crate) fn on_start_survived(&mut self, task: &Task) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         entry.survived_start.insert(entry.slot(task_key(task)));
         self.clear_suspect(task, "it outlived its start");
@@ -257,7 +258,7 @@
 ///
 /// If a job has a suspect, that task starts first and alone: tasks of one job are alike, so
 /// starting several could cost a worker each. The others wait until the suspect has outlived its
-/// start or another task is found to be the cause. Tasks of other steps may find room where the
+/// start or another task is found to be the cause. Tasks of other steps may find capacity where the
 /// suspect does not, so they wait no longer than [`OTHER_STEPS_DELAY_MS`].
 pub(crate) fn isolate_suspects(
     id: &str,
@@ -309,6 +310,6 @@
     entry.progress.suspected_tasks().filter(waiting).any(blocks)
 }
 
-/// Longest time that other steps of an idle job wait until a suspect finds a place. Without a
+/// Longest time that other steps of an idle job wait until a suspect finds a worker. Without a
 /// bound a job could stall beside idle workers.
 const OTHER_STEPS_DELAY_MS: u64 = 1500;
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -66,7 +66,7 @@
         for (index, worker) in
             workers.iter().enumerate().filter(|(_, worker)| request.is_eligible(worker))
         {
-            // Saves divisions: most workers of a full pool have no room left, and the first few
+            // Saves divisions: most workers of a full pool have no capacity left, and the first few
             // would hold all tasks if they were empty.
             let fits = need.fits(&worker.free);
             let free = if fits { request.max_tasks(index, &worker.free) } else { 0 };
--- a/crates/dispatch/src/wait_detail.rs
+++ b/crates/dispatch/src/wait_detail.rs
@@ -83,7 +83,7 @@
     entry.runs.range(tasks).map(|(_, placed)| placed.agent.clone()).collect()
 }
 
-/// Formats where room is reserved for a step, and since when.
+/// Formats where capacity is reserved for a step, and since when.
 fn reserved(entry: &Entry, (_, occurrence, step): &StepKey, now: u64) -> String {
     let Some(reservation) = entry.reservations.get(&(*occurrence, *step)) else {
         return String::new();
--- a/crates/dispatch/src/waits.rs
+++ b/crates/dispatch/src/waits.rs
@@ -4,7 +4,7 @@
 
 use crate::cause::Cause;
 
-/// Waits shorter than this are not logged while they last. Within this time most room is made
+/// Waits shorter than this are not logged while they last. Within this time most capacity is freed
 /// and most short work ends, as a stop takes up to 900 ms; beyond it, objectives of a few seconds
 /// are at risk.
 pub(crate) const MIN_LOGGED_WAIT_MS: u64 = 1000;
@@ -107,7 +107,7 @@
         long.map(spend).collect()
     }
 
-    /// Returns the steps that wait for workers or for room on them, so that a change of the
+    /// Returns the steps that wait for workers or for capacity on them, so that a change of the
     /// workers alone may change the cause.
     pub fn waiting_for_workers(&self) -> Vec<(StepKey, Wait)> {
         let waits = self.steps.iter().filter(|(_, wait)| wait.cause.depends_on_workers());
--- a/crates/entry/src/site/own.rs
+++ b/crates/entry/src/site/own.rs
@@ -273,7 +273,7 @@
 /// seen: a later owner must not give them their whole time again.
 fn add_waves(shared: &Site, owner: &mut Owner) {
     for (number, wave) in shared.waves.borrow().iter() {
-        if !owner.knows_wave(*number) {
+        if !owner.has_wave(*number) {
             let known = shared.mirror.borrow().waves.get(number).copied();
             owner.add_wave(wave, known, quincewheel_clock::wall());
         }
