--- a/crates/dispatch/src/close_reason.rs
+++ b/crates/dispatch/src/close_reason.rs
@@ -24,7 +24,7 @@
     Silent,
     /// A start would find no valid lease.
     NoLease,
-    /// The worker is in a pause after it refused a start.
+    /// The worker is in backoff after it refused a start.
     RefusesStarts,
 }
 
--- a/crates/dispatch/src/diagnosis.rs
+++ b/crates/dispatch/src/diagnosis.rs
@@ -127,7 +127,7 @@
         }
         let jobs = &self.jobs;
         self.waits.retain(|step_key, _| is_open(jobs, &step_key.0));
-        let (due, left) = self.waits.take_due_lines(now);
+        let (due, omitted) = self.waits.take_due_lines(now);
         for (step_key, wait) in due {
             let (id, occurrence, step) = &step_key;
             let name = format!("{id}.{occurrence}.{step}, {} tasks", wait.tasks);
@@ -135,8 +135,8 @@
             let detail = self.wait_detail(&step_key, &wait, now);
             self.log("waits", id, format!("{name}, {ms} ms: {cause}: {detail}"));
         }
-        if !left.is_empty() {
-            self.log("waits left out", "", left_out(&left));
+        if !omitted.is_empty() {
+            self.log("waits left out", "", left_out(&omitted));
         }
     }
 
@@ -232,9 +232,9 @@
     (candidate.id.clone(), candidate.occurrence, candidate.step)
 }
 
-fn left_out(left: &BTreeMap<Cause, usize>) -> String {
-    let all: usize = left.values().sum();
+fn left_out(omitted: &BTreeMap<Cause, usize>) -> String {
+    let all: usize = omitted.values().sum();
     let causes: Vec<String> =
-        left.iter().map(|(cause, count)| format!("{count} {}", cause.name())).collect();
+        omitted.iter().map(|(cause, count)| format!("{count} {}", cause.name())).collect();
     format!("{all} more wait and were not told this second: {}", causes.join(", "))
 }
--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -49,10 +49,10 @@
 /// How long a draining entry leaves a vacant ownership to others: ten times what a claim takes.
 const DRAINING_DELAY_MS: u64 = 300;
 
-/// A gap between two reads after which a candidate restarts its timeout. Candidates poll every
+/// Longest gap between two reads that does not restart a candidate's timeout. Candidates poll every
 /// 400 ms, and a slow table answers within about 450 ms. Without this, every entry would claim the
 /// ownership as soon as a table returns after an outage longer than the claim timeout.
-const READ_GAP_MS: u64 = 1000;
+const MAX_READ_GAP_MS: u64 = 1000;
 
 /// An owner that lost its connection, or sends no heartbeats, is replaced after this time unless
 /// it reconnects or writes its row. A running owner reconnects within 400 ms.
@@ -118,7 +118,7 @@
             // The writer is alive, and a new owner opens connections of its own.
             self.disconnected_since = None;
             self.last_heartbeat = self.last_heartbeat.map(|_| now);
-        } else if now > self.last_read + READ_GAP_MS {
+        } else if now > self.last_read + MAX_READ_GAP_MS {
             self.unchanged = Some((version, now));
         }
         self.last_read = now;
@@ -138,15 +138,16 @@
         draining: bool,
     ) -> bool {
         let Some((owner, version)) = owner else {
-            let delay_over = |since| now >= since + BOOTSTRAP_DELAY_MS + self.stagger;
-            return !draining && self.unowned_since.is_none_or(delay_over);
+            let delay_has_passed = |since| now >= since + BOOTSTRAP_DELAY_MS + self.stagger;
+            return !draining && self.unowned_since.is_none_or(delay_has_passed);
         };
         let unchanged = self.unchanged.filter(|(known, _)| known == version);
         if draining {
             let unclaimed = unchanged.is_some_and(|(_, since)| now >= since + DRAINING_DELAY_MS);
             return owner.holder.is_empty() && unclaimed;
         }
-        let own_former = owner.holder == self.name && owner.incarnation != self.incarnation;
+        // The previous incarnation of this process has ended.
+        let restarted = owner.holder == self.name && owner.incarnation != self.incarnation;
         let timeout = self.claim_timeout + self.stagger;
         let stale = unchanged.is_some_and(|(_, since)| current >= since + timeout);
         // An owner that lost its connection has ended, or it reconnects or writes its row
@@ -160,10 +161,9 @@
             self.last_heartbeat.is_some_and(|at| now >= at + OWNER_TIMEOUT_MS + self.stagger)
                 && unchanged
                     .is_some_and(|(_, since)| current >= since + OWNER_TIMEOUT_MS + self.stagger);
-        // The previous incarnation of this process has ended.
         let turn_reached = unchanged.is_some_and(|(_, since)| now >= since + self.stagger);
         let is_next = self.stagger == 0 || turn_reached || self.handover_version == Some(*version);
         let vacant = owner.holder.is_empty() && is_next;
-        own_former || disconnected || silent || vacant || (stale && now < current + timeout)
+        restarted || disconnected || silent || vacant || (stale && now < current + timeout)
     }
 }
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -28,11 +28,11 @@
 pub(crate) struct Listing {
     /// When a list was last requested.
     requested_at: u64,
-    /// Time until the next request, if no further worker is missed.
+    /// Time until the next request, if no further worker becomes unresponsive.
     interval: u64,
     /// When the need for a list is next checked.
     next_check_at: u64,
-    /// Ids of missed workers that the last list did not name.
+    /// Ids of unresponsive workers that the last list did not name.
     unnamed: BTreeSet<String>,
 }
 
@@ -55,15 +55,15 @@
             return;
         }
         self.listing.next_check_at = now + LIST_CHECK_INTERVAL_MS;
-        let Some(newest) = self.missed_since(now) else {
+        let Some(newest) = self.latest_unresponsive_since(now) else {
             self.listing.interval = FIRST_LIST_INTERVAL_MS;
             return;
         };
-        let newly_missed = newest > self.listing.requested_at;
-        if !newly_missed && now < self.listing.requested_at + self.listing.interval {
+        let newly_unresponsive = newest > self.listing.requested_at;
+        if !newly_unresponsive && now < self.listing.requested_at + self.listing.interval {
             return;
         }
-        self.listing.interval = if newly_missed {
+        self.listing.interval = if newly_unresponsive {
             FIRST_LIST_INTERVAL_MS
         } else {
             (self.listing.interval * 2).min(MAX_LIST_INTERVAL_MS)
@@ -72,10 +72,10 @@
         self.outputs.push(Output::ListMachines);
     }
 
-    /// Since when the most recently missed worker with runs has been missed; none if no list is
+    /// Since when the most recently unresponsive worker with runs has been so; none if no list is
     /// needed.
-    fn missed_since(&self, now: u64) -> Option<u64> {
-        let missed: BTreeMap<&str, u64> = self
+    fn latest_unresponsive_since(&self, now: u64) -> Option<u64> {
+        let unresponsive: BTreeMap<&str, u64> = self
             .agents
             .iter()
             .filter_map(|(name, agent)| {
@@ -84,11 +84,11 @@
             .collect();
         let (granted, _) = self.predecessor_grants();
         let unsettled = Some(granted).filter(|&granted| !self.settled && now >= granted);
-        if missed.is_empty() {
+        if unresponsive.is_empty() {
             return unsettled;
         }
         let runs = self.jobs.values().flat_map(|entry| entry.runs.values());
-        let with_runs = runs.filter_map(|placed| missed.get(placed.agent.as_str()).copied());
+        let with_runs = runs.filter_map(|placed| unresponsive.get(placed.agent.as_str()).copied());
         with_runs.chain(unsettled).max()
     }
 
@@ -122,16 +122,16 @@
         }
     }
 
-    /// Agents whose workers were missed when the list was requested and are not on it.
+    /// Agents whose workers were unresponsive when the list was requested and are not on it.
     fn unnamed<'a>(
         &'a self,
         listed: &'a BTreeSet<&str>,
         sent: u64,
     ) -> impl Iterator<Item = (&'a str, &'a Worker)> {
-        let missed = move |since: Option<u64>| since.is_some_and(|since| since <= sent);
+        let unresponsive = move |since: Option<u64>| since.is_some_and(|since| since <= sent);
         self.agents.iter().filter_map(move |(name, agent)| {
             let worker = agent.worker.as_ref()?;
-            let candidate = missed(agent.unresponsive_since) && !agent.worker_left;
+            let candidate = unresponsive(agent.unresponsive_since) && !agent.worker_left;
             (candidate && !listed.contains(worker.id.as_str())).then_some((name.as_str(), worker))
         })
     }
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -22,7 +22,7 @@
     /// When the current machine list was requested; none before the first.
     listed_at: Option<u64>,
     /// True if the list has entries that could not be parsed.
-    partial: bool,
+    list_partial: bool,
     /// When a list was last requested.
     requested_at: u64,
 }
@@ -33,8 +33,8 @@
     fn back_up(&self, sent: u64) -> Vec<String> {
         let idle = |name: &String| {
             self.waves.values().all(|state| {
-                let begun = state.begun.get(name).is_none_or(|begun| *begun < sent);
-                begun && !state.called.contains_key(name)
+                let begun = state.taken_down.get(name).is_none_or(|begun| *begun < sent);
+                begun && !state.pending_calls.contains_key(name)
             })
         };
         let up = self.machines.values().filter(|machine| machine.condition == Condition::Up);
@@ -52,9 +52,9 @@
     recorded: bool,
     /// Machines that have been taken down, or are not part of the wave, and when the platform
     /// said so.
-    begun: BTreeMap<String, u64>,
+    taken_down: BTreeMap<String, u64>,
     /// Machines whose call to take them down has no answer yet, and when it was last sent.
-    called: BTreeMap<String, u64>,
+    pending_calls: BTreeMap<String, u64>,
     done: bool,
 }
 
@@ -93,10 +93,10 @@
     /// than the machine list.
     fn may_be_down(&self, name: &str, maintenance: &Maintenance) -> bool {
         let machine = maintenance.machines.get(name);
-        if self.called.contains_key(name) {
+        if self.pending_calls.contains_key(name) {
             return true;
         }
-        match (machine, self.begun.get(name)) {
+        match (machine, self.taken_down.get(name)) {
             (Some(machine), None) => machine.condition == Condition::Maintained,
             (Some(machine), Some(&begun)) => {
                 let stale = maintenance.listed_at.is_none_or(|listed_at| listed_at <= begun);
@@ -108,23 +108,23 @@
 
     /// Listed machines of the wave that have not been taken down yet.
     fn remaining<'a>(&'a self, maintenance: &'a Maintenance) -> impl Iterator<Item = &'a Machine> {
-        let names = self.wave.machines.iter().filter(|name| !self.begun.contains_key(*name));
+        let names = self.wave.machines.iter().filter(|name| !self.taken_down.contains_key(*name));
         names.filter_map(|name| maintenance.machines.get(name))
     }
 
     /// True if each machine of the wave has been listed or taken down.
     fn all_known(&self, maintenance: &Maintenance) -> bool {
         let known = |name: &String| {
-            maintenance.machines.contains_key(name) || self.begun.contains_key(name)
+            maintenance.machines.contains_key(name) || self.taken_down.contains_key(name)
         };
         self.wave.machines.iter().all(known)
     }
 
-    /// True if the `remaining` machines need all the time that is left. `length` is the duration
-    /// of one machine's maintenance, and `wall` is the time of day.
-    fn is_short_of_time(&self, remaining: usize, length: u64, wall: u64) -> bool {
+    /// True if the `remaining` machines need all the time that is left. `maintenance_ms` is the
+    /// duration of one machine's maintenance, and `wall` is the time of day.
+    fn is_short_of_time(&self, remaining: usize, maintenance_ms: u64, wall: u64) -> bool {
         let turns = remaining.div_ceil(self.wave.most.max(1)) as u64;
-        wall + turns * (length + TURN_OVERHEAD_MS) >= self.first_seen + self.wave.duration
+        wall + turns * (maintenance_ms + TURN_OVERHEAD_MS) >= self.first_seen + self.wave.duration
     }
 }
 
@@ -137,8 +137,8 @@
             wave: wave.clone(),
             first_seen: known.map_or(wall, |known| known.at),
             recorded: known.is_some(),
-            begun: BTreeMap::new(),
-            called: BTreeMap::new(),
+            taken_down: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             done,
         };
         self.maintenance.waves.entry(wave.number).or_insert(state);
@@ -151,18 +151,18 @@
     }
 
     /// Handles the platform's list of all machines, requested at `sent` and returned on `pages`
-    /// pages. If the list is not `whole`, entries that could not be parsed are missing.
+    /// pages. If the list is not `complete`, entries that could not be parsed are missing.
     ///
     /// A machine whose entry cannot be parsed still exists and keeps its last known state. If it
     /// were dropped, its wave would be reported as complete before its turn.
-    pub fn on_machines(&mut self, machines: Vec<Machine>, whole: bool, pages: usize, sent: u64) {
-        if whole {
+    pub fn on_machines(&mut self, machines: Vec<Machine>, complete: bool, pages: usize, sent: u64) {
+        if complete {
             self.maintenance.machines.clear();
             self.on_machine_list(&machines, pages, sent);
         }
         let by_name = machines.into_iter().map(|machine| (machine.name.clone(), machine));
         self.maintenance.machines.extend(by_name);
-        self.maintenance.partial = !whole;
+        self.maintenance.list_partial = !complete;
         self.maintenance.listed_at = Some(sent);
         for name in self.maintenance.back_up(sent) {
             self.cancel_take_down(&name);
@@ -174,21 +174,21 @@
         let Some(state) = self.maintenance.waves.get_mut(&number) else { return };
         match result {
             TakeDownResult::Begun => {
-                state.called.remove(machine);
-                state.begun.insert(machine.to_owned(), now);
+                state.pending_calls.remove(machine);
+                state.taken_down.insert(machine.to_owned(), now);
             }
             TakeDownResult::Foreign => {
-                state.called.remove(machine);
-                state.begun.insert(machine.to_owned(), now);
+                state.pending_calls.remove(machine);
+                state.taken_down.insert(machine.to_owned(), now);
                 self.cancel_take_down(machine);
             }
             TakeDownResult::Busy | TakeDownResult::Refused => {
-                state.called.remove(machine);
+                state.pending_calls.remove(machine);
                 self.cancel_take_down(machine);
             }
             TakeDownResult::Unclear => {}
             TakeDownResult::Fenced => {
-                state.called.remove(machine);
+                state.pending_calls.remove(machine);
                 self.outputs.push(Output::Deposed { epoch: self.epoch + 1 });
             }
         }
@@ -259,9 +259,10 @@
     fn finish_wave(&mut self, number: u64) {
         let maintenance = &self.maintenance;
         let Some(state) = maintenance.waves.get(&number) else { return };
-        let known = !maintenance.partial || state.all_known(maintenance);
-        let done =
-            known && state.remaining(maintenance).next().is_none() && state.called.is_empty();
+        let known = !maintenance.list_partial || state.all_known(maintenance);
+        let done = known
+            && state.remaining(maintenance).next().is_none()
+            && state.pending_calls.is_empty();
         if let Some(state) = self.maintenance.waves.get_mut(&number).filter(|_| done) {
             state.done = true;
             state.recorded = false;
@@ -273,7 +274,7 @@
     /// Repeats calls without an answer.
     fn retry_calls(&mut self, number: u64, now: u64) {
         let Some(state) = self.maintenance.waves.get_mut(&number) else { return };
-        for (machine, called) in &mut state.called {
+        for (machine, called) in &mut state.pending_calls {
             if now >= *called + TAKE_DOWN_RETRY_MS {
                 *called = now;
                 let machine = machine.clone();
@@ -293,18 +294,18 @@
         let remaining: Vec<&Machine> = state.remaining(maintenance).collect();
         let short_of_time =
             state.is_short_of_time(remaining.len(), self.settings.maintenance_duration, wall);
-        let mut turns: Vec<(u64, String, String)> = remaining
+        let mut candidates: Vec<(u64, String, String)> = remaining
             .into_iter()
             .filter(|machine| machine.condition == Condition::Up)
-            .filter(|machine| !state.called.contains_key(&machine.name))
+            .filter(|machine| !state.pending_calls.contains_key(&machine.name))
             .map(|machine| {
                 let agent = self.agent_of(&machine.worker).unwrap_or_default().to_owned();
                 (self.lost_work_ms(&agent, now), machine.name.clone(), agent)
             })
             .collect();
-        turns.sort();
+        candidates.sort();
         let mut next = BTreeSet::new();
-        for (lost_ms, machine, agent) in turns {
+        for (lost_ms, machine, agent) in candidates {
             if room == 0 {
                 break;
             }
@@ -317,7 +318,7 @@
                 continue;
             }
             if let Some(state) = self.maintenance.waves.get_mut(&number) {
-                state.called.insert(machine.clone(), now);
+                state.pending_calls.insert(machine.clone(), now);
             }
             if let Some(agent) = self.agents.get_mut(&agent) {
                 agent.shutdown_requested = true;
@@ -356,13 +357,13 @@
     fn may_take_down(&self, agent: &str) -> bool {
         let here = |placed: &Placement| placed.agent == agent;
         self.jobs.iter().all(|(id, entry)| {
-            let mut hit: BTreeMap<(u32, u32), u32> = BTreeMap::new();
+            let mut stopped_by_step: BTreeMap<(u32, u32), u32> = BTreeMap::new();
             for (key, _) in entry.runs.iter().filter(|(_, placed)| here(placed)) {
                 if entry.step(*key).is_some_and(|step| step.may_miss > 0) {
-                    *hit.entry((key.0, key.1)).or_default() += 1;
+                    *stopped_by_step.entry((key.0, key.1)).or_default() += 1;
                 }
             }
-            hit.iter().all(|(&(occurrence, step), &runs)| {
+            stopped_by_step.iter().all(|(&(occurrence, step), &runs)| {
                 runs <= self.disruption_budget(id, occurrence, step)
             })
         })
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -101,9 +101,10 @@
         for (id, view) in known {
             let later = view.job.as_ref().is_some_and(|(_, stored)| *stored > version);
             if view.progress_version > version
-                && let (Some(progress), Some(now)) = (view.progress.clone(), self.jobs.get_mut(&id))
+                && let (Some(progress), Some(current)) =
+                    (view.progress.clone(), self.jobs.get_mut(&id))
             {
-                now.update_progress(progress, view.progress_version);
+                current.update_progress(progress, view.progress_version);
             }
             // Stored since the rows were read.
             if later {
@@ -138,7 +139,7 @@
             return (kind == "node").then(|| RowEvent::NodeRemoved(name.to_owned()));
         };
         let read = match kind {
-            "job" => return Some(self.read_job(name, value, change)),
+            "job" => return Some(self.apply_job(name, value, change)),
             "run" => serde_json::from_str(value).map(|progress| {
                 let view = self.jobs.entry(name.to_owned()).or_default();
                 view.update_progress(progress, change.version);
@@ -159,14 +160,14 @@
                 self.jobs.entry(name.to_owned()).or_default().cancelled = true;
                 Some(RowEvent::JobCancelled(name.to_owned()))
             }),
-            "node" => return Some(self.read_node(name, value, change)),
+            "node" => return Some(self.apply_node(name, value, change)),
             _ => Ok(None),
         };
         read.unwrap_or_else(|error| Some(malformed(change, error.to_string())))
     }
 
     /// The number of entries that precede this one as candidates for the ownership: those on
-    /// larger machines, and of equal machines those with a lesser name. The last owner is no
+    /// larger machines, and of equal machines those with an earlier name. The last owner is no
     /// candidate, since it is being replaced.
     ///
     /// An owner's load grows with the number of workers. On an eighth of a core with 160 workers
@@ -208,7 +209,7 @@
 
     /// Applies a job's row. A job that no entry would have accepted is left out: a step that
     /// depends on one that does not exist would wait forever.
-    fn read_job(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
+    fn apply_job(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
         let job: Result<Job, String> = serde_json::from_str(value).map_err(|e| e.to_string());
         match job.and_then(|job| job.check().map(|()| job).map_err(|e| e.to_string())) {
             Err(detail) => malformed(change, detail),
@@ -222,7 +223,7 @@
 
     /// Applies a process's row. A row without a valid address is left out: a new owner would wait
     /// a whole lease for the runs of an agent that does not exist.
-    fn read_node(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
+    fn apply_node(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
         let node: Result<Node, String> = serde_json::from_str(value).map_err(|e| e.to_string());
         match node {
             Err(detail) => malformed(change, detail),
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -71,7 +71,7 @@
                         break;
                     }
                 }
-                let goal = estimator.objective_of(entry, occurrence);
+                let objective = estimator.objective_of(entry, occurrence);
                 for (number, step) in (0u32..).zip(&entry.job.steps) {
                     let tasks = pending_tasks(entry, occurrence, number, step, id);
                     if tasks.is_empty() {
@@ -87,8 +87,8 @@
                         let rank = Rank {
                             borrowed: !covered,
                             priority: entry.job.queue.priority,
-                            lateness: goal.lateness(wall),
-                            latest_start: goal.latest_start(),
+                            lateness: objective.lateness(wall),
+                            latest_start: objective.latest_start(),
                             version: entry.version,
                         };
                         let work = core_weight(step) * estimator.estimate(entry, number, step);
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -18,7 +18,7 @@
 /// checkpoints and deleted rows.
 const MAX_BATCH_JOBS: usize = 50;
 /// Most jobs whose checkpoints are in one transaction.
-const MAX_BATCH_CHECKPOINTS: usize = 15;
+const MAX_BATCH_CHECKPOINT_JOBS: usize = 15;
 /// Most departed agents whose rows one transaction deletes.
 const MAX_BATCH_DEPARTED_AGENTS: usize = 8;
 
@@ -66,7 +66,7 @@
         };
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter_mut() {
-            if found.len() < MAX_BATCH_CHECKPOINTS && due(&entry) {
+            if found.len() < MAX_BATCH_CHECKPOINT_JOBS && due(&entry) {
                 entry.checkpoints_dirty = false;
                 entry.checkpoints_recorded_at = now;
                 found.push((id.clone(), entry.open_checkpoints(id)));
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -417,7 +417,7 @@
             placed.phase = Phase::Running;
         }
         if let Some(agent) = self.agents.get_mut(&placed.agent) {
-            // An accepted start ends the worker's back-off early.
+            // An accepted start ends the worker's backoff early.
             self.replan |= agent.refusals.until > 0;
             agent.refusals = Refusals::default();
         }
@@ -449,11 +449,11 @@
         }
         self.replan = true;
         self.log("start refused", &task.job, format!("{task} run {run} {why:?} at {name}"));
-        let worker_blameless = matches!(
+        let worker_not_at_fault = matches!(
             why,
             Refused::Leaving | Refused::Old | Refused::Lease | Refused::Fence | Refused::Ticket
         );
-        if !worker_blameless {
+        if !worker_not_at_fault {
             self.back_off(name, now);
         }
         self.stop_gang(&task.job, key, now);
--- a/crates/dispatch/src/snapshot.rs
+++ b/crates/dispatch/src/snapshot.rs
@@ -121,7 +121,7 @@
             });
         }
         let borrowed = self.borrowed_units();
-        let mut taken = BTreeMap::new();
+        let mut stopped = BTreeMap::new();
         let mut units: BTreeMap<u64, Vec<(Id, Key)>> = BTreeMap::new();
         let mut recent_starts: BTreeMap<usize, RecentStart> = BTreeMap::new();
         for (id, entry) in &self.jobs {
@@ -149,7 +149,7 @@
                 }
                 if placed.phase == Phase::Stopping {
                     workers[index].stopping.add(&need);
-                } else if yields && self.may_be_stopped(id, *key, &mut taken) {
+                } else if yields && self.may_be_stopped(id, *key, &mut stopped) {
                     let loss = preemption_loss(step, now.saturating_sub(placed.started_at));
                     let unit = placed.unit;
                     workers[index].preemptible.push(Preemptible {
@@ -181,15 +181,20 @@
 
     /// Returns whether the run may be preempted at all. Of a perpetual step, only as many runs
     /// may be stopped as may be missing at the same time.
-    fn may_be_stopped(&self, id: &Id, key: Key, taken: &mut BTreeMap<(Id, u32, u32), u32>) -> bool {
+    fn may_be_stopped(
+        &self,
+        id: &Id,
+        key: Key,
+        stopped: &mut BTreeMap<(Id, u32, u32), u32>,
+    ) -> bool {
         let step = self.jobs.get(id).and_then(|entry| entry.step(key));
         if !step.is_some_and(|step| step.perpetual && step.may_miss > 0) {
             return true;
         }
-        let spare = self.disruption_budget(id, key.0, key.1);
-        let taken = taken.entry((id.clone(), key.0, key.1)).or_default();
-        *taken += 1;
-        *taken <= spare
+        let budget = self.disruption_budget(id, key.0, key.1);
+        let stopped = stopped.entry((id.clone(), key.0, key.1)).or_default();
+        *stopped += 1;
+        *stopped <= budget
     }
 
     /// Returns the units of priority 0 that exceed their team's guarantee, which are those that
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -70,11 +70,11 @@
             // would hold all tasks if they were empty.
             let fits = need.fits(&worker.free);
             let free = if fits { request.max_tasks(index, &worker.free) } else { 0 };
-            let known = !tally.same_rack && tally.all.whole >= tally.count;
-            if known && restrictions.is_empty() && !tally.gang {
+            let enough_counted = !tally.same_rack && tally.all.whole >= tally.count;
+            if enough_counted && restrictions.is_empty() && !tally.gang {
                 break;
             }
-            let whole = if known { 0 } else { request.max_tasks(index, &worker.capacity) };
+            let whole = if enough_counted { 0 } else { request.max_tasks(index, &worker.capacity) };
             let restriction = restrictions.get(index).copied().unwrap_or(Restriction::None);
             tally.all.add(restriction, free, whole);
             if tally.same_rack {
@@ -102,8 +102,8 @@
         {
             return cause;
         }
-        let some_rack = self.same_rack && self.all.free.iter().sum::<u64>() >= self.count;
-        if some_rack { Cause::Rack } else { Cause::Room }
+        let fits_across_racks = self.same_rack && self.all.free.iter().sum::<u64>() >= self.count;
+        if fits_across_racks { Cause::Rack } else { Cause::Room }
     }
 
     /// Returns how many of the tasks fit now, and how many would fit if nothing ran.
@@ -115,11 +115,11 @@
     /// Returns whether the workers, and others that could hold `more` tasks, could hold the tasks
     /// if nothing ran.
     pub fn would_hold(&self, more: u64) -> bool {
-        self.all.whole + more >= self.wanted()
+        self.all.whole + more >= self.min_tasks()
     }
 
     /// Returns the least number of tasks that can start: all of a gang, otherwise one.
-    fn wanted(&self) -> u64 {
+    fn min_tasks(&self) -> u64 {
         if self.gang { self.count } else { 1 }
     }
 
@@ -129,6 +129,6 @@
         if self.same_rack && self.racks.values().any(|sums| sums.whole >= self.count) {
             return self.racks.values().any(|sums| free(sums) >= self.count);
         }
-        free(&self.all) >= self.wanted()
+        free(&self.all) >= self.min_tasks()
     }
 }
--- a/crates/dispatch/src/throttle.rs
+++ b/crates/dispatch/src/throttle.rs
@@ -60,9 +60,9 @@
             let at: Key = (occurrence, number, index);
             let placed = entry.runs.get(&at);
             placed.is_some_and(|placed| {
-                let doomed =
+                let shutting_down =
                     self.agents.get(&placed.agent).is_some_and(|agent| agent.shutdown_requested);
-                placed.phase == Phase::Running && placed.percent >= 100 && !doomed
+                placed.phase == Phase::Running && placed.percent >= 100 && !shutting_down
             })
         });
         let missing = step.count - serving.count() as u32;
--- a/crates/dispatch/src/times.rs
+++ b/crates/dispatch/src/times.rs
@@ -38,12 +38,12 @@
 
 impl Times {
     /// Adds a completed step of the queue, with its estimate and run time in milliseconds.
-    pub fn record(&mut self, queue: &str, estimate: u64, took: u64) {
+    pub fn record(&mut self, queue: &str, estimate: u64, duration: u64) {
         let sums = self.queues.entry(queue.to_owned()).or_default();
         if sums.count >= HALVING_STEP_COUNT {
             sums.halve();
         }
-        let time = (took.max(1) as f64).ln();
+        let time = (duration.max(1) as f64).ln();
         let ratio = time - (estimate.max(1) as f64).ln();
         sums.count += 1.0;
         sums.time += time;
@@ -58,11 +58,11 @@
         let Some(sums) = self.queues.get(queue).filter(|sums| sums.count >= MIN_STEP_COUNT) else {
             return estimate;
         };
-        let (time, spread) = moments(sums.time, sums.time_squares, sums.count);
-        let (ratio, error) = moments(sums.ratio, sums.ratio_squares, sums.count);
-        let trust = spread / (spread + error);
-        let guess = (estimate.max(1) as f64).ln() + ratio;
-        (trust * guess + (1.0 - trust) * time).exp() as u64
+        let (time, time_variance) = moments(sums.time, sums.time_squares, sums.count);
+        let (ratio, ratio_variance) = moments(sums.ratio, sums.ratio_squares, sums.count);
+        let weight = time_variance / (time_variance + ratio_variance);
+        let scaled_estimate = (estimate.max(1) as f64).ln() + ratio;
+        (weight * scaled_estimate + (1.0 - weight) * time).exp() as u64
     }
 }
 
--- a/crates/dispatch/src/unlisted_runs.rs
+++ b/crates/dispatch/src/unlisted_runs.rs
@@ -33,11 +33,11 @@
 
     /// Active runs that their responsive workers have not listed for at least `bound`.
     fn not_listed_for(&self, now: u64, bound: u64) -> Vec<(Id, Key)> {
-        let old =
+        let overdue =
             |placed: &Placement| placed.phase == Phase::Running && now >= placed.updated_at + bound;
         let runs = self.jobs.iter().flat_map(|(id, entry)| entry.runs.iter().map(move |r| (id, r)));
-        let missing =
-            runs.filter(|(id, (key, placed))| old(placed) && self.is_unlisted(id, **key, placed));
+        let missing = runs
+            .filter(|(id, (key, placed))| overdue(placed) && self.is_unlisted(id, **key, placed));
         missing.map(|(id, (key, _))| (id.clone(), *key)).collect()
     }
 
