--- a/crates/dispatch/src/checkpoints.rs
+++ b/crates/dispatch/src/checkpoints.rs
@@ -19,13 +19,13 @@
 const MAX_CHECKPOINTS: usize = 1000;
 
 impl Checkpoints {
-    /// A row of these checkpoints, at most [`MAX_CHECKPOINTS`] of them.
+    /// Creates a row of these checkpoints, at most [`MAX_CHECKPOINTS`] of them.
     pub(crate) fn new<'a>(tasks: impl Iterator<Item = (&'a Key, &'a String)>) -> Checkpoints {
         let row = |(key, checkpoint): (&Key, &String)| (key.0, key.1, key.2, checkpoint.clone());
         Checkpoints { tasks: tasks.map(row).take(MAX_CHECKPOINTS).collect() }
     }
 
-    /// The checkpoints by task key.
+    /// Returns the checkpoints by task key.
     pub(crate) fn by_task(&self) -> BTreeMap<Key, String> {
         let row = |(occurrence, step, index, checkpoint): &(u32, u32, u32, String)| {
             ((*occurrence, *step, *index), checkpoint.clone())
--- a/crates/dispatch/src/clearance.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -52,7 +52,7 @@
 const REQUEST_RETRY_DELAY_MS: u64 = 300;
 
 impl Clearance {
-    /// The ticket for a worker, if it is valid for long enough.
+    /// Returns the ticket for a worker, if it is valid for long enough.
     pub fn ticket(&self, worker: &Incarnation, now: u64) -> Option<&str> {
         let held = self
             .tickets
@@ -61,7 +61,7 @@
         held.map(|ticket| ticket.text.as_str())
     }
 
-    /// The number of workers that may not run the step, and of those with a usable ticket.
+    /// Returns the number of workers that may not run the step, and of those with a usable ticket.
     pub fn counts(&self, now: u64) -> (usize, usize) {
         let held = self.tickets.keys().filter(|worker| self.ticket(worker, now).is_some());
         (self.barred.len(), held.count())
@@ -72,7 +72,7 @@
         self.tickets.remove(worker);
     }
 
-    /// True if clearance for the worker may be requested now.
+    /// Returns whether clearance for the worker may be requested now.
     fn needs_request(&self, worker: &Incarnation, now: u64) -> bool {
         now >= self.retry_at && !self.barred.contains(worker) && self.ticket(worker, now).is_none()
     }
--- a/crates/dispatch/src/dismissal.rs
+++ b/crates/dispatch/src/dismissal.rs
@@ -24,12 +24,12 @@
 }
 
 impl Dismissal {
-    /// True if the agent was dismissed and has not announced itself since.
+    /// Returns whether the agent was dismissed and has not announced itself since.
     pub fn contains(&self, name: &str) -> bool {
         self.agents.contains_key(name)
     }
 
-    /// True if the agent was dismissed and all its leases have expired.
+    /// Returns whether the agent was dismissed and all its leases have expired.
     pub fn has_lapsed(&self, name: &str, now: u64) -> bool {
         self.agents.get(name).is_some_and(|dismissed| now >= dismissed.leases_expire_at)
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// True if the agent was dismissed and has not announced itself since.
+    /// Returns whether the agent was dismissed and has not announced itself since.
     pub fn is_dismissed(&self, name: &str) -> bool {
         self.dismissal.contains(name)
     }
--- a/crates/dispatch/src/election.rs
+++ b/crates/dispatch/src/election.rs
@@ -59,7 +59,8 @@
 pub(crate) const OWNER_TIMEOUT_MS: u64 = 700;
 
 impl Election {
-    /// A candidate that claims after the row has been unchanged for `claim_timeout` milliseconds.
+    /// Creates a candidate that claims after the row has been unchanged for `claim_timeout`
+    /// milliseconds.
     pub fn new(name: &str, incarnation: u64, claim_timeout: u64) -> Election {
         Election {
             name: name.to_owned(),
@@ -124,7 +125,7 @@
         self.last_read = now;
     }
 
-    /// True if this candidate should claim the ownership now. `current` is when the table's
+    /// Returns whether this candidate should claim the ownership now. `current` is when the table's
     /// changes were last known to be read completely.
     ///
     /// A `draining` candidate claims only an ownership that was handed over and that nobody else
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -33,9 +33,9 @@
     zones: Evacuation,
     /// When the operators' rows were last known to name exactly these zones.
     last_read: u64,
-    /// True if the operators' rows were not read for too long, as was logged.
+    /// Whether the operators' rows were not read for too long, as was logged.
     unreachable: bool,
-    /// True if this owner knew of an evacuation at any time, so that agents may know of it.
+    /// Whether this owner knew of an evacuation at any time, so that agents may know of it.
     ever_evacuated: bool,
     /// The evacuated zones that were logged as empty.
     empty: BTreeSet<String>,
@@ -44,7 +44,7 @@
 }
 
 impl EvacuationState {
-    /// True if nothing may start in the availability zone.
+    /// Returns whether nothing may start in the availability zone.
     pub fn covers(&self, zone: &str) -> bool {
         self.zones.contains(zone)
     }
@@ -75,8 +75,8 @@
         self.replan = true;
     }
 
-    /// True if the operators' rows were not read for so long that any zone may be evacuated by now.
-    /// Logs when that begins and ends.
+    /// Returns whether the operators' rows were not read for so long that any zone may be evacuated
+    /// by now. Logs when that begins and ends.
     pub(crate) fn operators_unreachable(&mut self, now: u64) -> bool {
         let Some(bound) = self.settings.evacuation_deadline else { return false };
         let silent = now.saturating_sub(self.evacuation.last_read);
@@ -91,7 +91,7 @@
         unreachable
     }
 
-    /// The number of evacuated availability zones, and of those that may not be empty yet.
+    /// Returns the number of evacuated availability zones, and of those that may not be empty yet.
     pub fn evacuation_counts(&self) -> (usize, usize) {
         let zones = self.evacuation.zones.zones().count();
         (zones, zones - self.evacuation.empty.len())
@@ -139,8 +139,8 @@
         self.log("zone evacuated", zone, detail);
     }
 
-    /// The number of runs in each evacuated zone that has any: recorded runs, and stray runs that
-    /// are being stopped.
+    /// Returns the number of runs in each evacuated zone that has any: recorded runs, and stray
+    /// runs that are being stopped.
     fn evacuated_runs(&self) -> BTreeMap<String, usize> {
         let zone = |name: &str| {
             let agent = self.agents.get(name).filter(|agent| agent.zone_evacuated)?;
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -72,8 +72,8 @@
         self.outputs.push(Output::ListMachines);
     }
 
-    /// Since when the most recently unresponsive worker with runs has been so; none if no list is
-    /// needed.
+    /// Returns since when the most recently unresponsive worker with runs has been so; none if no
+    /// list is needed.
     fn latest_unresponsive_since(&self, now: u64) -> Option<u64> {
         let unresponsive: BTreeMap<&str, u64> = self
             .agents
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Agents whose workers were unresponsive when the list was requested and are not on it.
+    /// Returns the agents whose workers were unresponsive when the list was requested and are not
+    /// on it.
     fn unnamed<'a>(
         &'a self,
         listed: &'a BTreeSet<&str>,
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -21,15 +21,15 @@
     machines: BTreeMap<String, Machine>,
     /// When the current machine list was requested; none before the first.
     listed_at: Option<u64>,
-    /// True if the list has entries that could not be parsed.
+    /// Whether the list has entries that could not be parsed.
     list_partial: bool,
     /// When a list was last requested.
     requested_at: u64,
 }
 
 impl Maintenance {
-    /// Machines that are up and that no wave has called since the list was requested. A machine
-    /// that a previous owner had already taken down stays up when it is called again.
+    /// Returns the machines that are up and that no wave has called since the list was requested. A
+    /// machine that a previous owner had already taken down stays up when it is called again.
     fn back_up(&self, sent: u64) -> Vec<String> {
         let idle = |name: &String| {
             self.waves.values().all(|state| {
@@ -48,10 +48,10 @@
     wave: Wave,
     /// When it was first seen, in milliseconds since 1970.
     first_seen: u64,
-    /// True if `first_seen` and `done` are recorded.
+    /// Whether `first_seen` and `done` are recorded.
     recorded: bool,
     /// Machines that have been taken down, or are not part of the wave, and when the platform
-    /// said so.
+    /// answered.
     taken_down: BTreeMap<String, u64>,
     /// Machines whose call to take them down has no answer yet, and when it was last sent.
     pending_calls: BTreeMap<String, u64>,
@@ -83,14 +83,14 @@
 const TURN_OVERHEAD_MS: u64 = 2500;
 
 impl WaveState {
-    /// The number of machines of the wave that may be down.
+    /// Returns the number of machines of the wave that may be down.
     fn down_count(&self, maintenance: &Maintenance) -> usize {
         let may_be_down = |name: &&String| self.may_be_down(name, maintenance);
         self.wave.machines.iter().filter(may_be_down).count()
     }
 
-    /// True if the machine is down for this wave, or a call that may have taken it down is newer
-    /// than the machine list.
+    /// Returns whether the machine is down for this wave, or a call that may have taken it down is
+    /// newer than the machine list.
     fn may_be_down(&self, name: &str, maintenance: &Maintenance) -> bool {
         let machine = maintenance.machines.get(name);
         if self.pending_calls.contains_key(name) {
@@ -106,13 +106,13 @@
         }
     }
 
-    /// Listed machines of the wave that have not been taken down yet.
+    /// Returns the listed machines of the wave that have not been taken down yet.
     fn remaining<'a>(&'a self, maintenance: &'a Maintenance) -> impl Iterator<Item = &'a Machine> {
         let names = self.wave.machines.iter().filter(|name| !self.taken_down.contains_key(*name));
         names.filter_map(|name| maintenance.machines.get(name))
     }
 
-    /// True if each machine of the wave has been listed or taken down.
+    /// Returns whether each machine of the wave has been listed or taken down.
     fn all_known(&self, maintenance: &Maintenance) -> bool {
         let known = |name: &String| {
             maintenance.machines.contains_key(name) || self.taken_down.contains_key(name)
@@ -120,8 +120,8 @@
         self.wave.machines.iter().all(known)
     }
 
-    /// True if the `remaining` machines need all the time that is left. `maintenance_ms` is the
-    /// duration of one machine's maintenance, and `wall` is the time of day.
+    /// Returns whether the `remaining` machines need all the time that is left. `maintenance_ms` is
+    /// the duration of one machine's maintenance, and `wall` is the time of day.
     fn is_short_of_time(&self, remaining: usize, maintenance_ms: u64, wall: u64) -> bool {
         let turns = remaining.div_ceil(self.wave.most.max(1)) as u64;
         wall + turns * (maintenance_ms + TURN_OVERHEAD_MS) >= self.first_seen + self.wave.duration
@@ -145,7 +145,7 @@
         self.outputs.push(Output::WaveStatus { number: wave.number, done });
     }
 
-    /// True if the wave was added before.
+    /// Returns whether the wave was added before.
     pub fn has_wave(&self, number: u64) -> bool {
         self.maintenance.waves.contains_key(&number)
     }
@@ -222,7 +222,7 @@
         self.cordon(&next);
     }
 
-    /// Waves whose state is to be recorded; they count as recorded from now on.
+    /// Returns the waves whose state is to be recorded; they count as recorded from now on.
     pub(crate) fn unrecorded_waves(&mut self) -> Vec<(u64, WaveRecord)> {
         let new = self.maintenance.waves.iter_mut().filter(|(_, state)| !state.recorded);
         new.map(|(number, state)| {
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Numbers of the waves that are not complete.
+    /// Returns the numbers of the waves that are not complete.
     fn open_waves(&self) -> Vec<u64> {
         let open = self.maintenance.waves.iter().filter(|(_, state)| !state.done);
         open.map(|(number, _)| *number).collect()
@@ -328,7 +328,7 @@
         next
     }
 
-    /// The name of the agent of a worker, by the worker's id.
+    /// Returns the name of the agent of a worker, by the worker's id.
     fn agent_of(&self, worker: &str) -> Option<&str> {
         let mut agents = self.agents.iter();
         let found = agents.find(|(_, agent)| {
@@ -337,8 +337,8 @@
         found.map(|(name, _)| name.as_str())
     }
 
-    /// The run time lost if all runs at an agent end now, in milliseconds. Perpetual tasks count
-    /// as no loss, since [`Owner::may_take_down`] bounds how many are stopped.
+    /// Returns the run time lost if all runs at an agent end now, in milliseconds. Perpetual tasks
+    /// count as no loss, since [`Owner::may_take_down`] bounds how many are stopped.
     fn lost_work_ms(&self, agent: &str, now: u64) -> u64 {
         let mut lost_ms = 0;
         for entry in self.jobs.values() {
@@ -352,8 +352,8 @@
         lost_ms
     }
 
-    /// True if taking the agent's machine down leaves no step with more missing tasks than its
-    /// `may_miss` allows.
+    /// Returns whether taking the agent's machine down leaves no step with more missing tasks than
+    /// its `may_miss` allows.
     fn may_take_down(&self, agent: &str) -> bool {
         let here = |placed: &Placement| placed.agent == agent;
         self.jobs.iter().all(|(id, entry)| {
--- a/crates/dispatch/src/members.rs
+++ b/crates/dispatch/src/members.rs
@@ -157,12 +157,12 @@
         }
     }
 
-    /// True if the agent has an open connection.
+    /// Returns whether the agent has an open connection.
     pub fn is_connected(&self, agent: &str) -> bool {
         self.agents.get(agent).is_some_and(|agent| agent.link.is_some())
     }
 
-    /// All connections to agents.
+    /// Returns all connections to agents.
     pub fn links(&self) -> Vec<LinkId> {
         self.links.keys().copied().collect()
     }
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -27,7 +27,7 @@
     pub waves: BTreeMap<u64, WaveRecord>,
     /// All changes up to this version of the table are applied.
     pub version: u64,
-    /// When this process first saw that a job had ended, in milliseconds.
+    /// When this process first read that a job had ended, in milliseconds.
     ended_at: BTreeMap<Id, u64>,
 }
 
@@ -42,7 +42,7 @@
     progress_version: u64,
     /// Its recorded checkpoints.
     pub checkpoints: Checkpoints,
-    /// True if a client cancelled it.
+    /// Whether a client cancelled it.
     pub cancelled: bool,
 }
 
@@ -78,12 +78,13 @@
         }
     }
 
-    /// The recorded progress and the version of its row.
+    /// Returns the recorded progress and the version of its row.
     pub fn recorded_progress(&self) -> Option<(Progress, u64)> {
         self.progress.clone().map(|progress| (progress, self.progress_version))
     }
 
-    /// The job's state as shown to clients: a cancelled job that has not ended counts as cancelled.
+    /// Returns the job's state as shown to clients: a cancelled job that has not ended counts as
+    /// cancelled.
     pub fn state(&self) -> State {
         let state = self.progress.as_ref().map_or(State::Queued, |progress| progress.state);
         if self.cancelled && !state.is_final() { State::Cancelled } else { state }
@@ -166,8 +167,8 @@
         read.unwrap_or_else(|error| Some(malformed(change, error.to_string())))
     }
 
-    /// The number of entries that precede this one as candidates for the ownership: those on
-    /// larger machines, and of equal machines those with an earlier name. The last owner is no
+    /// Returns the number of entries that precede this one as candidates for the ownership: those
+    /// on larger machines, and of equal machines those with an earlier name. The last owner is no
     /// candidate, since it is being replaced.
     ///
     /// An owner's load grows with the number of workers. On an eighth of a core with 160 workers
@@ -185,8 +186,8 @@
         before.count()
     }
 
-    /// Jobs that ended at least `retention` milliseconds ago, at most `limit` of them. Their rows
-    /// are deleted, or the table and every process's memory would grow without bound.
+    /// Returns the jobs that ended at least `retention` milliseconds ago, at most `limit` of them.
+    /// Their rows are deleted, or the table and every process's memory would grow without bound.
     pub fn expired_jobs(&mut self, now: u64, retention: u64, limit: usize) -> Vec<Id> {
         let Mirror { jobs, ended_at, .. } = self;
         ended_at.retain(|id, _| jobs.contains_key(id));
@@ -197,7 +198,7 @@
         expired.take(limit).map(|(id, _)| id.clone()).collect()
     }
 
-    /// The number of jobs of a queue of which no task has started.
+    /// Returns the number of jobs of a queue of which no task has started.
     pub fn queued_jobs(&self, queue: &str) -> usize {
         let queued = |view: &&JobView| {
             let job = view.job.as_ref().map(|(job, _)| job);
--- a/crates/dispatch/src/output.rs
+++ b/crates/dispatch/src/output.rs
@@ -31,7 +31,7 @@
     WaveStatus {
         /// The wave.
         number: u64,
-        /// True if all machines that still exist have been taken down.
+        /// Whether all machines that still exist have been taken down.
         done: bool,
     },
     /// Close a connection that is unresponsive or was replaced.
--- a/crates/dispatch/src/quarantine.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The earliest time at which a task may return to a worker that it avoids.
+    /// Returns the earliest time at which a task may return to a worker that it avoids.
     fn next_avoid_expiry(&self, now: u64) -> Option<u64> {
         let entries = self.jobs.values().flat_map(|entry| entry.avoided_workers.values());
         entries.flat_map(|workers| workers.values().copied()).filter(|until| *until > now).min()
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -23,7 +23,8 @@
 const MAX_BATCH_DEPARTED_AGENTS: usize = 8;
 
 impl Owner {
-    /// The next batch to record; none while one is in flight. [`Owner::on_recorded`] must follow.
+    /// Returns the next batch to record; none while one is in flight. [`Owner::on_recorded`] must
+    /// follow.
     pub fn next_batch(&mut self) -> Option<Batch> {
         if self.record_in_flight {
             return None;
@@ -57,7 +58,7 @@
         Some(batch)
     }
 
-    /// Checkpoints that are due: each job's are recorded at most once per
+    /// Returns the checkpoints that are due: each job's are recorded at most once per
     /// `checkpoint_interval`, along with other changes.
     fn due_checkpoints(&mut self) -> Vec<(Id, Checkpoints)> {
         let (now, interval) = (self.now, self.settings.checkpoint_interval);
@@ -75,8 +76,8 @@
         found
     }
 
-    /// Agents whose rows are to be deleted: their worker has shut down, or there has been no
-    /// connection or no worker for longer than any lease, and no run is recorded there.
+    /// Returns the agents whose rows are to be deleted: their worker has shut down, or there has
+    /// been no connection or no worker for longer than any lease, and no run is recorded there.
     ///
     /// A new owner waits for all members before it starts older jobs. Without this it would wait
     /// for the lease of every machine that was ever removed, which delays work by 6 s after each
@@ -100,12 +101,12 @@
         names.map(|(name, _)| name.clone()).collect()
     }
 
-    /// True if clients wait for a change that is not recorded yet.
+    /// Returns whether clients wait for a change that is not recorded yet.
     pub fn has_urgent_changes(&self) -> bool {
         self.dirty_urgent
     }
 
-    /// True if there are unrecorded changes or unacknowledged ends.
+    /// Returns whether there are unrecorded changes or unacknowledged ends.
     pub fn has_unrecorded(&self) -> bool {
         !self.dirty.is_empty()
             || self.agents.values().any(|agent| agent.last_end > agent.acknowledged_end)
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -488,7 +488,7 @@
     }
 }
 
-/// The key of a task within its job.
+/// Returns the key of a task within its job.
 pub(crate) fn task_key(task: &Task) -> Key {
     (task.occurrence, task.step, task.index)
 }
--- a/crates/dispatch/src/rows.rs
+++ b/crates/dispatch/src/rows.rs
@@ -25,7 +25,7 @@
 /// The part that holds all other rows.
 const MAIN_PART: &str = "";
 
-/// The part of the table that holds a row.
+/// Returns the part of the table that holds a row.
 pub fn part_of(key: &str) -> &'static str {
     match key.split_once('/') {
         Some(("job" | "stop", id)) => {
@@ -36,39 +36,39 @@
     }
 }
 
-/// All parts that hold rows. The parts with jobs come first, since checkpoints in the main part
-/// are applied only to known jobs.
+/// Returns all parts that hold rows. The parts with jobs come first, since checkpoints in the main
+/// part are applied only to known jobs.
 pub fn parts() -> impl Iterator<Item = &'static str> {
     JOB_PARTS.into_iter().chain([MAIN_PART])
 }
 
-/// Key of a job's row.
+/// Returns the key of a job's row.
 pub fn job_key(id: &str) -> String {
     format!("job/{id}")
 }
 
-/// Key of the row that holds a job's progress.
+/// Returns the key of the row that holds a job's progress.
 pub fn progress_key(id: &str) -> String {
     format!("run/{id}")
 }
 
-/// Key of the row that cancels a job. It is also written for an unknown job, so that a submission
-/// delayed by the network finds it.
+/// Returns the key of the row that cancels a job. It is also written for an unknown job, so that a
+/// submission delayed by the network finds it.
 pub fn cancellation_key(id: &str) -> String {
     format!("stop/{id}")
 }
 
-/// Key of the row that holds a job's checkpoints.
+/// Returns the key of the row that holds a job's checkpoints.
 pub fn checkpoints_key(id: &str) -> String {
     format!("save/{id}")
 }
 
-/// Key of a process's row.
+/// Returns the key of a process's row.
 pub fn node_key(name: &str) -> String {
     format!("node/{name}")
 }
 
-/// Key of the row that records when a wave of maintenance was first seen.
+/// Returns the key of the row that records when a wave of maintenance was first seen.
 pub fn wave_key(number: u64) -> String {
     format!("wave/{number}")
 }
@@ -78,7 +78,7 @@
 pub struct WaveRecord {
     /// When it was first seen, in milliseconds since 1970.
     pub at: u64,
-    /// True if all its machines have been taken down. A later owner must not restart the wave.
+    /// Whether all its machines have been taken down. A later owner must not restart the wave.
     #[serde(default)]
     pub done: bool,
 }
@@ -100,10 +100,11 @@
 }
 
 impl Ownership {
-    /// True if neither this owner nor an earlier one still grants leases, as far as the entry
-    /// `name` can tell when it claims: the holder handed over, or it was a previous incarnation of
-    /// the same entry. For earlier owners this holds only if the holder had settled, that is,
-    /// outlived their leases: a partitioned owner may not know yet that it was replaced twice.
+    /// Returns whether neither this owner nor an earlier one still grants leases, as far as the
+    /// entry `name` can tell when it claims: the holder handed over, or it was a previous
+    /// incarnation of the same entry. For earlier owners this holds only if the holder had settled,
+    /// that is, outlived their leases: a partitioned owner may not know yet that it was replaced
+    /// twice.
     pub fn grants_ended(&self, name: &str) -> bool {
         self.settled && (self.holder.is_empty() || self.holder == name)
     }
@@ -122,7 +123,7 @@
     pub size: Size,
 }
 
-/// The resources that a machine gives a process. Ordered by how much load an owner could bear.
+/// The resources that a machine gives a process. Ordered by how much load an owner could handle.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Size {
     /// Processor time, in thousandths of a core.
@@ -131,13 +132,13 @@
     pub link: u64,
 }
 
-/// The write by which a process announces its address.
+/// Returns the write by which a process announces its address.
 pub fn announcement(name: &str, node: &Node) -> Commit {
     let value = serde_json::to_string(node).expect("rows are plain data");
     Commit { put: vec![Put { key: self::node_key(name), value }], ..Commit::default() }
 }
 
-/// The keys of all rows of a job.
+/// Returns the keys of all rows of a job.
 pub fn job_keys(id: &str) -> [String; 4] {
     [job_key(id), progress_key(id), cancellation_key(id), checkpoints_key(id)]
 }
--- a/crates/dispatch/src/settings.rs
+++ b/crates/dispatch/src/settings.rs
@@ -53,7 +53,7 @@
     pub fencing_interval: u64,
     /// How long a machine is down for maintenance.
     pub maintenance_duration: u64,
-    /// True if the platform lists machines with their workers.
+    /// Whether the platform lists machines with their workers.
     pub lists_machines: bool,
     /// Time after which a confirmed run that its worker does not list counts as ended. Longer than
     /// two polls.
--- a/crates/dispatch/src/settlement.rs
+++ b/crates/dispatch/src/settlement.rs
@@ -14,7 +14,7 @@
 /// What was last logged of the members that an owner waits for.
 #[derive(Debug, Default)]
 pub(crate) struct SettlementLog {
-    /// The members, with what each lacks.
+    /// The members, with the reason why each is closed.
     logged: Vec<(String, CloseReason)>,
     /// When the members are next scanned.
     next_scan_at: u64,
@@ -44,7 +44,8 @@
         self.settlement_log.logged = members;
     }
 
-    /// The members that may still run tasks started by a previous owner, with what each lacks.
+    /// Returns the members that may still run tasks started by a previous owner, with the reason
+    /// why each is closed.
     fn awaited_members(&self, now: u64) -> Vec<(String, CloseReason)> {
         let (last, lease) = self.predecessor_grants();
         let agents = self
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -50,7 +50,8 @@
         }
     }
 
-    /// True if the previous incarnation of the agent's worker may have been crashed by a task.
+    /// Returns whether the previous incarnation of the agent's worker may have been crashed by a
+    /// task.
     pub(crate) fn follows_crash(&self, name: &str, worker: &Incarnation) -> bool {
         let crash = self.agents.get(name).and_then(|agent| agent.suspected_crash.as_ref());
         crash.is_some_and(|crash| crash.worker != *worker)
@@ -254,7 +255,7 @@
     }
 }
 
-/// The tasks of a step that may start now, in groups, with whether each group is suspected.
+/// Returns the tasks of a step that may start now, in groups, with whether each group is suspected.
 ///
 /// If a job has a suspect, that task starts first and alone: tasks of one job are alike, so
 /// starting several could cost a worker each. The others wait until the suspect has outlived its
@@ -292,8 +293,8 @@
     groups
 }
 
-/// Suspects that may be retried now, each as a group of its own: the first that is not exonerated,
-/// and all that are.
+/// Returns the suspects that may be retried now, each as a group of its own: the first that is not
+/// exonerated, and all that are.
 fn separately(suspects: Vec<u32>, unexplained: impl Fn(u32) -> bool) -> Vec<(Vec<u32>, bool)> {
     let first = suspects.iter().copied().find(|index| unexplained(*index));
     let retried =
@@ -301,7 +302,8 @@
     retried.map(|index| (vec![index], true)).collect()
 }
 
-/// True if tasks of the step must wait for a suspect of their job that has not been retried.
+/// Returns whether tasks of the step must wait for a suspect of their job that has not been
+/// retried.
 fn waits_for_suspect(entry: &Entry, step: (u32, u32), now: u64) -> bool {
     let is_running = |slot: &Key| entry.runs.keys().any(|key| entry.slot(*key) == *slot);
     let waiting = |slot: &Key| !entry.exonerated.contains(slot) && !is_running(slot);
--- a/crates/dispatch/src/unanswered_writes.rs
+++ b/crates/dispatch/src/unanswered_writes.rs
@@ -38,7 +38,7 @@
         self.since.remove(id);
     }
 
-    /// True if it is unknown whether the job was accepted.
+    /// Returns whether it is unknown whether the job was accepted.
     pub fn contains(&self, id: &str, now: u64) -> bool {
         self.since.get(id).is_some_and(|since| now < *since + WRITE_RETENTION_MS)
     }
--- a/crates/dispatch/src/unconfirmed_jobs.rs
+++ b/crates/dispatch/src/unconfirmed_jobs.rs
@@ -13,7 +13,7 @@
 }
 
 impl UnconfirmedJobs {
-    /// True if no job waits.
+    /// Returns whether no job waits.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
--- a/crates/dispatch/src/unlisted_runs.rs
+++ b/crates/dispatch/src/unlisted_runs.rs
@@ -9,7 +9,7 @@
 const RUN_SCAN_INTERVAL_MS: u64 = 1000;
 
 impl Owner {
-    /// The number of such runs that have not been listed for more than a second.
+    /// Returns the number of such runs that have not been listed for more than a second.
     pub fn unlisted_runs(&self) -> usize {
         self.not_listed_for(self.now, RUN_SCAN_INTERVAL_MS).len()
     }
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Active runs that their responsive workers have not listed for at least `bound`.
+    /// Returns the active runs that their responsive workers have not listed for at least `bound`.
     fn not_listed_for(&self, now: u64, bound: u64) -> Vec<(Id, Key)> {
         let overdue =
             |placed: &Placement| placed.phase == Phase::Running && now >= placed.updated_at + bound;
@@ -41,7 +41,7 @@
         missing.map(|(id, (key, _))| (id.clone(), *key)).collect()
     }
 
-    /// True if the run's worker answers and its last list does not contain the run.
+    /// Returns whether the run's worker answers and its last list does not contain the run.
     fn is_unlisted(&self, id: &str, key: Key, placed: &Placement) -> bool {
         let Some(agent) = self.agents.get(&placed.agent) else { return false };
         let current =
