--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -52,7 +52,7 @@
     /// Whether operators evacuate the worker's availability zone, so that nothing new starts
     /// there.
     pub zone_evacuated: bool,
-    /// Whether the platform was asked to take the machine down, so that all runs there are
+    /// Whether the platform was requested to take the machine down, so that all runs there are
     /// about to be lost.
     pub shutdown_requested: bool,
     /// For how long an answer of the worker has been overdue, in milliseconds.
@@ -108,7 +108,7 @@
     /// at a worker that has not answered for a whole `lease`.
     ///
     /// Only evidence that something may still run may delay this: a lease, or the worker's answer
-    /// to a poll. Other signs of life must not (an agent without a worker that asks for leases,
+    /// to a poll. Other signs of life must not (an agent without a worker that requests leases,
     /// a new connection, a refused poll), or jobs accepted before a restart never start again.
     pub fn is_clear_of_predecessors(&self, last: u64, lease: u64, now: u64) -> bool {
         let expired = now >= last + lease;
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -54,7 +54,7 @@
     /// a worker on its own. A gang is listed at index 0.
     pub exonerated: BTreeSet<Key>,
     /// Whether a crash attributed to one of the tasks is not recorded yet. Until then none of
-    /// the job's tasks starts: a new owner would not know of the crash, and could start the
+    /// the job's tasks starts: a new owner would not learn of the crash, and could start the
     /// task again and again.
     pub crash_unrecorded: bool,
 }
@@ -124,7 +124,7 @@
 /// Progress from which on the remaining time of a run can be extrapolated.
 const MIN_EXTRAPOLATION_PERCENT: u32 = 70;
 
-/// The state of a run, as far as the owner knows.
+/// The last known state of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
     /// Its start was ordered and has not been confirmed.
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -1,6 +1,6 @@
 //! Availability zones that operators evacuate.
 //!
-//! Nothing new starts in an evacuated zone once the owner knows of the evacuation. Runs there
+//! Nothing new starts in an evacuated zone once the owner has read the evacuation. Runs there
 //! continue to their end: a stop would discard their work, and tasks cut off when the zone goes
 //! dark start elsewhere as after any loss. Room for waiting work, guaranteed or not, is made in the
 //! other zones as if the evacuated ones did not exist, so guarantees hold as long as the other
@@ -35,7 +35,7 @@
     last_read: u64,
     /// Whether the operators' rows were not read for too long, as was logged.
     unreachable: bool,
-    /// Whether this owner knew of an evacuation at any time, so that agents may know of it.
+    /// Whether this owner has read of an evacuation at any time and may have notified agents of it.
     ever_evacuated: bool,
     /// The evacuated zones that were logged as empty.
     empty: BTreeSet<String>,
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -1,11 +1,11 @@
 //! Workers that the platform's machine list no longer names.
 //!
-//! A worker that is removed, crashes or loses its machine sends no notice. As far as its agent can
-//! tell, its runs may continue until the lease expires, and waiting for that delays gangs by 10 to
-//! 19 s. The platform knows earlier: its machine list names the worker of each machine, and a
-//! worker that is not named has ended. A partitioned worker is still listed, so its lease is waited
-//! for; so is one that restarted under its id, until it reports. In 111 days with all kinds of
-//! faults, lists requested four times a second never omitted a worker that answered later.
+//! A worker that is removed, crashes or loses its machine sends no notice. For its agent the runs
+//! there may continue until the lease expires, and waiting for that delays gangs by 10 to 19 s. The
+//! platform detects it earlier: its machine list names the worker of each machine, and a worker
+//! that is not named has ended. A partitioned worker is still listed, so its lease is waited for;
+//! so is one that restarted under its id, until it reports. In 111 days with all kinds of faults,
+//! lists requested four times a second never omitted a worker that answered later.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/dispatch/src/maintenance.rs
+++ b/crates/dispatch/src/maintenance.rs
@@ -3,7 +3,7 @@
 //! The next machine is cordoned and taken down once it is idle, or earlier if the wave's time runs
 //! short. The number of machines that are down is never underestimated: a call without an answer
 //! may have been carried out, so its machine counts as down until a later machine list shows it up.
-//! Calls are idempotent, so a new owner, which does not know what was begun, repeats them.
+//! Calls are idempotent, so a new owner, which has no record of what was begun, repeats them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/dispatch/src/plan.rs
+++ b/crates/dispatch/src/plan.rs
@@ -122,8 +122,8 @@
     /// Returns whether every run that a previous owner may have started is accounted for: each
     /// agent's worker is reconciled, or its leases have expired.
     ///
-    /// A previous owner that does not know that it was replaced goes on granting leases while a
-    /// majority of agents is connected to it. So this also notes when a majority first follows
+    /// A previous owner that has not detected that it was replaced goes on granting leases while a
+    /// majority of agents is connected to it. So this also records when a majority first follows
     /// this owner, since the previous owner stops soon after.
     pub(crate) fn check_settled(&mut self, now: u64) -> bool {
         let reconciled = self.agents.values().filter(|agent| agent.reconciled).count();
@@ -141,8 +141,8 @@
             None => self.claimed_at + self.settings.grants_stop_after,
             Some(_) if self.predecessor_ended => self.claimed_at,
             // A previous owner grants leases to all agents until the table has not confirmed it
-            // for `unconfirmed`. After that it needs a majority of agents, and agents that
-            // follow this owner still count for it until their last notice is `fresh` old.
+            // for `quorum_after`. After that it needs a majority of agents, and agents that
+            // follow this owner still count for it until their last notice is `quorum_age` old.
             Some(since) => {
                 (since + self.settings.quorum_age).max(self.claimed_at + self.settings.quorum_after)
             }
--- a/crates/dispatch/src/rows.rs
+++ b/crates/dispatch/src/rows.rs
@@ -94,7 +94,7 @@
     pub epoch: u64,
     /// Incremented with each write by the same owner.
     pub sequence: u64,
-    /// True once this owner knows of everything that earlier owners started.
+    /// Whether this owner has accounted for everything that earlier owners started.
     #[serde(default)]
     pub settled: bool,
 }
@@ -103,8 +103,8 @@
     /// Returns whether neither this owner nor an earlier one still grants leases, as far as the
     /// entry `name` can tell when it claims: the holder handed over, or it was a previous
     /// incarnation of the same entry. For earlier owners this holds only if the holder had settled,
-    /// that is, outlived their leases: a partitioned owner may not know yet that it was replaced
-    /// twice.
+    /// that is, outlived their leases: a partitioned owner may not have detected yet that it was
+    /// replaced twice.
     pub fn grants_ended(&self, name: &str) -> bool {
         self.settled && (self.holder.is_empty() || self.holder == name)
     }
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Lets a job's tasks start again once its crashes are recorded: a new owner will know them.
+    /// Lets a job's tasks start again once its crashes are recorded: a new owner will then read
+    /// them.
     pub(crate) fn on_progress_recorded(&mut self, id: &str) {
         let newer = self.dirty.contains(id);
         if let Some(entry) = self.jobs.get_mut(id).filter(|entry| entry.crash_unrecorded && !newer)
--- a/crates/dispatch/src/unconfirmed_jobs.rs
+++ b/crates/dispatch/src/unconfirmed_jobs.rs
@@ -4,7 +4,7 @@
 /// versions of their rows.
 ///
 /// Another entry may have claimed the ownership before such a job was stored and start it at
-/// once; an owner that does not know of that claim would start it, too. The table's change feed
+/// once; an owner that has not read that claim would start it, too. The table's change feed
 /// delivers the claim before the job. A job that bypassed the feed waits until the table performs a
 /// later write of this owner, which is conditional on no other entry having claimed.
 #[derive(Debug, Default)]
