--- a/crates/dispatch/src/agent.rs
+++ b/crates/dispatch/src/agent.rs
@@ -37,10 +37,10 @@
     /// responds.
     pub unresponsive_since: Option<u64>,
     /// Failures of tasks that count against the worker.
-    pub blame: Quarantine,
+    pub quarantine: Quarantine,
     /// The starts just before the worker broke its connections, if it has not answered since.
     /// Should the worker turn out to have ended, one of them has crashed it.
-    pub crash: Option<SuspectedCrash>,
+    pub suspected_crash: Option<SuspectedCrash>,
     /// Starts that the worker has refused recently.
     pub refusals: Refusals,
     /// Whether the worker has ended, and no other has reported since.
@@ -52,7 +52,7 @@
     /// Whether operators evacuate the worker's availability zone, so that nothing new starts
     /// there.
     pub zone_evacuated: bool,
-    /// Whether the platform was asked to take the machine down, so that all runs there are
+    /// Whether the platform was requested to take the machine down, so that all runs there are
     /// about to be lost.
     pub shutdown_requested: bool,
     /// For how long an answer of the worker has been overdue, in milliseconds.
@@ -68,7 +68,7 @@
     /// Number of the last end that was acknowledged to the worker, which then forgets it.
     pub acknowledged_end: u64,
     /// Until when other workers are preferred because of failures or refusals here.
-    pub doubted_until: u64,
+    pub deprioritized_until: u64,
     /// Until when the worker is slow because it has just started, so that others are preferred.
     pub cold_until: u64,
     /// Number of runs that failed there in a row.
@@ -108,7 +108,7 @@
     /// at a worker that has not answered for a whole `lease`.
     ///
     /// Only evidence that something may still run may delay this: a lease, or the worker's answer
-    /// to a poll. Other signs of life must not (an agent without a worker that asks for leases,
+    /// to a poll. Other signs of life must not (an agent without a worker that requests leases,
     /// a new connection, a refused poll), or jobs accepted before a restart never start again.
     pub fn is_clear_of_predecessors(&self, last: u64, lease: u64, now: u64) -> bool {
         let expired = now >= last + lease;
--- a/crates/dispatch/src/clearance.rs
+++ b/crates/dispatch/src/clearance.rs
@@ -2,8 +2,8 @@
 //!
 //! An external service decides which workers may run a step. It answers one call at a time, and a
 //! call's time grows with its number of workers. So a step requests clearance for a few workers,
-//! those with the most room first, and for more only while tasks have no place. A refusal is final,
-//! and an expired ticket is requested again.
+//! those with the most free capacity first, and for more only while tasks have no worker. A refusal
+//! is final, and an expired ticket is requested again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -44,22 +44,24 @@
 }
 
 /// Most workers in one request. Enough for most steps; a call's time grows with each worker.
-const MAX_WORKERS: usize = 12;
+const MAX_REQUESTED_WORKERS: usize = 12;
 /// Shortest remaining validity of a ticket that is used. A start may be tried three times, 400 ms
 /// apart.
-const MIN_VALIDITY_MS: u64 = 1300;
+const MIN_TICKET_VALIDITY_MS: u64 = 1300;
 /// Delay before the next request after one that got no answer.
-const RETRY_DELAY_MS: u64 = 300;
+const REQUEST_RETRY_DELAY_MS: u64 = 300;
 
 impl Clearance {
-    /// The ticket for a worker, if it is valid for long enough.
+    /// Returns the ticket for a worker, if it is valid for long enough.
     pub fn ticket(&self, worker: &Incarnation, now: u64) -> Option<&str> {
-        let held =
-            self.tickets.get(worker).filter(|ticket| ticket.expires_at >= now + MIN_VALIDITY_MS);
+        let held = self
+            .tickets
+            .get(worker)
+            .filter(|ticket| ticket.expires_at >= now + MIN_TICKET_VALIDITY_MS);
         held.map(|ticket| ticket.text.as_str())
     }
 
-    /// The number of workers that may not run the step, and of those with a usable ticket.
+    /// Returns the number of workers that may not run the step, and of those with a usable ticket.
     pub fn counts(&self, now: u64) -> (usize, usize) {
         let held = self.tickets.keys().filter(|worker| self.ticket(worker, now).is_some());
         (self.barred.len(), held.count())
@@ -70,7 +72,7 @@
         self.tickets.remove(worker);
     }
 
-    /// True if clearance for the worker may be requested now.
+    /// Returns whether clearance for the worker may be requested now.
     fn needs_request(&self, worker: &Incarnation, now: u64) -> bool {
         now >= self.retry_at && !self.barred.contains(worker) && self.ticket(worker, now).is_none()
     }
@@ -107,7 +109,7 @@
         sent: u64,
         now: u64,
     ) {
-        self.advice_pending = false;
+        self.clearance_pending = false;
         self.replan = true;
         let Some(entry) = self.jobs.get_mut(&request.job) else { return };
         let clearance = entry.clearances.entry((request.occurrence, request.step)).or_default();
@@ -118,35 +120,35 @@
                 self.log("cleared", &request.job, detail);
             }
             None => {
-                clearance.retry_at = now + RETRY_DELAY_MS;
-                self.advice_retry_at = Some(now + RETRY_DELAY_MS);
+                clearance.retry_at = now + REQUEST_RETRY_DELAY_MS;
+                self.clearance_retry_at = Some(now + REQUEST_RETRY_DELAY_MS);
                 self.log("not cleared", &request.job, "no answer".to_owned());
             }
         }
     }
 
     /// Requests clearance for the candidate's step, one request at a time. `workers` are ordered by
-    /// free room, the largest first.
+    /// free capacity, the largest first.
     pub(crate) fn request_clearance(
         &mut self,
         candidate: &Candidate,
         workers: Vec<Incarnation>,
         now: u64,
     ) {
-        if self.advice_pending {
+        if self.clearance_pending {
             return;
         }
         let Some(entry) = self.jobs.get_mut(&candidate.id) else { return };
-        let step_key = (candidate.occurrence, candidate.step);
-        let clearance = entry.clearances.entry(step_key).or_default();
+        let occurrence_step = (candidate.occurrence, candidate.step);
+        let clearance = entry.clearances.entry(occurrence_step).or_default();
         let unknown = workers.into_iter().filter(|worker| clearance.needs_request(worker, now));
-        let workers: Vec<Incarnation> = unknown.take(MAX_WORKERS).collect();
+        let workers: Vec<Incarnation> = unknown.take(MAX_REQUESTED_WORKERS).collect();
         if workers.is_empty() {
             return;
         }
-        let (job, (occurrence, step)) = (candidate.id.clone(), step_key);
+        let (job, (occurrence, step)) = (candidate.id.clone(), occurrence_step);
         let request = ClearanceRequest { job, occurrence, step, workers };
-        self.advice_pending = true;
+        self.clearance_pending = true;
         self.outputs.push(Output::RequestClearance { request });
     }
 }
--- a/crates/dispatch/src/close_reason.rs
+++ b/crates/dispatch/src/close_reason.rs
@@ -24,7 +24,7 @@
     Silent,
     /// A start would find no valid lease.
     NoLease,
-    /// The worker is in a pause after it refused a start.
+    /// The worker is in backoff after it refused a start.
     RefusesStarts,
 }
 
@@ -36,8 +36,8 @@
             (agent.link.is_none() || agent.removal_pending, CloseReason::NoConnection),
             (agent.worker.is_none() || agent.worker_left, CloseReason::NoWorker),
             (!agent.fenced, CloseReason::NoAnswer),
-            (agent.crash.is_some(), CloseReason::ConnectionsBroken),
-            (agent.blame.until > 0, CloseReason::Failures),
+            (agent.suspected_crash.is_some(), CloseReason::ConnectionsBroken),
+            (agent.quarantine.until > 0, CloseReason::Failures),
             (agent.refusals.until > 0, CloseReason::RefusesStarts),
             (agent.cordoned || agent.shutdown_requested, CloseReason::Maintenance),
             (agent.zone_evacuated, CloseReason::ZoneEvacuated),
--- a/crates/dispatch/src/sight.rs
+++ b/crates/dispatch/src/diagnosis.rs
@@ -22,21 +22,23 @@
     /// Returns how many steps have waited for at least a second, by cause.
     pub fn long_waits(&self) -> BTreeMap<Cause, usize> {
         let mut counts = BTreeMap::new();
-        let long =
-            self.waits.long_waits(self.now).filter(|(group, _)| is_open(&self.jobs, &group.0));
+        let long = self
+            .waits
+            .long_waits(self.now)
+            .filter(|(step_key, _)| is_open(&self.jobs, &step_key.0));
         long.for_each(|(_, cause)| *counts.entry(cause).or_default() += 1);
         counts
     }
 
-    /// Records that a step waits for its reserved room. Returns false if it has none.
+    /// Records that a step waits for its reserved capacity. Returns false if it has none.
     pub(crate) fn record_reserved_wait(&mut self, candidate: &Candidate, now: u64) -> bool {
-        let place = (candidate.occurrence, candidate.step);
-        let reserved = |entry: &Entry| entry.reservations.contains_key(&place);
+        let occurrence_step = (candidate.occurrence, candidate.step);
+        let reserved = |entry: &Entry| entry.reservations.contains_key(&occurrence_step);
         if !self.jobs.get(&candidate.id).is_some_and(reserved) {
             return false;
         }
         let wait = (self.unplaced_tasks(candidate), Cause::Reserved);
-        self.waits.record(group(candidate), wait, (0, 0), now);
+        self.waits.record(step_key_of(candidate), wait, (0, 0), now);
         true
     }
 
@@ -53,41 +55,41 @@
         if left == 0 || self.record_reserved_wait(candidate, now) {
             return;
         }
-        let key = group(candidate);
-        let Some((cause, room)) = self.cause(&key, left, &snapshot.spots, limits) else { return };
+        let key = step_key_of(candidate);
+        let Some((cause, room)) = self.cause(&key, left, &snapshot.workers, limits) else { return };
         self.waits.record(key, (left, cause), room, now);
     }
 
-    /// Returns why this number of tasks of a step does not start on the workers `spots`, how many
-    /// of them fit now, and how many would fit if nothing ran.
+    /// Returns why this number of tasks of a step does not start on `workers`, how many of
+    /// them fit now, and how many would fit if nothing ran.
     pub(crate) fn cause(
         &self,
         (id, occurrence, number): &StepKey,
         tasks: usize,
-        spots: &[WorkerState],
+        workers: &[WorkerState],
         restrictions: &[Restriction],
     ) -> Option<(Cause, (u64, u64))> {
         let entry = self.jobs.get(id)?;
         let step = entry.job.steps.get(*number as usize)?;
         let pool = &self.pool_of(entry);
-        let held = match entry.has_runs(*occurrence, *number) {
-            true => &tasks_per_worker(entry, (*occurrence, *number), spots)[..],
+        let tasks_by_worker = match entry.has_runs(*occurrence, *number) {
+            true => &tasks_per_worker(entry, (*occurrence, *number), workers)[..],
             false => &[],
         };
         let count = tasks as u32;
-        let ask = Request {
+        let request = Request {
             step,
             pool,
             count,
             waits_for_rack: true,
             preempts: Protection::Lower,
             ignores_ending: false,
-            tasks_by_worker: held,
+            tasks_by_worker,
         };
-        let tally = Tally::count(spots, restrictions, &ask);
+        let tally = Tally::count(workers, restrictions, &request);
         let unconfigured = entry.job.queue.priority == 0 && self.config.version == 0;
         let cause = match tally.cause() {
-            Cause::Few => self.closed_or_too_few(&ask, &tally),
+            Cause::Few => self.closed_or_too_few(&request, &tally),
             Cause::Room if unconfigured => Cause::Unconfigured,
             cause => cause,
         };
@@ -96,15 +98,15 @@
 
     /// Records waits of steps that are ready but are not candidates yet.
     pub(crate) fn record_held_back(&mut self, now: u64, wall: u64) {
-        for (group, wait) in self.held_back(wall) {
-            self.waits.record(group, wait, (0, 0), now);
+        for (step_key, wait) in self.held_back(wall) {
+            self.waits.record(step_key, wait, (0, 0), now);
         }
     }
 
     /// Logs the steps that have started after waiting, and what they had waited for.
     pub(crate) fn log_ended_waits(&mut self, now: u64) {
-        for (group, wait) in self.waits.end_round(now) {
-            let (id, occurrence, step) = &group;
+        for (step_key, wait) in self.waits.end_round(now) {
+            let (id, occurrence, step) = &step_key;
             let begun = |entry: &Entry| entry.has_runs(*occurrence, *step);
             if !self.jobs.get(id).is_some_and(begun) {
                 continue;
@@ -124,31 +126,33 @@
             return;
         }
         let jobs = &self.jobs;
-        self.waits.retain(|group, _| is_open(jobs, &group.0));
-        let (due, left) = self.waits.take_due_lines(now);
-        for (group, wait) in due {
-            let (id, occurrence, step) = &group;
+        self.waits.retain(|step_key, _| is_open(jobs, &step_key.0));
+        let (due, omitted) = self.waits.take_due_lines(now);
+        for (step_key, wait) in due {
+            let (id, occurrence, step) = &step_key;
             let name = format!("{id}.{occurrence}.{step}, {} tasks", wait.tasks);
             let (ms, cause) = (now - wait.waiting_since, wait.cause.name());
-            let detail = self.wait_detail(&group, &wait, now);
+            let detail = self.wait_detail(&step_key, &wait, now);
             self.log("waits", id, format!("{name}, {ms} ms: {cause}: {detail}"));
         }
-        if !left.is_empty() {
-            self.log("waits left out", "", left_out(&left));
+        if !omitted.is_empty() {
+            self.log("waits left out", "", left_out(&omitted));
         }
     }
 
     /// Drops the waits of unsettled steps that have turned out to run. Returns how many steps are
     /// still unsettled.
     pub(crate) fn prune_held_back(&mut self, wall: u64) -> usize {
-        let held: BTreeSet<StepKey> = self
+        let held_back: BTreeSet<StepKey> = self
             .held_back(wall)
             .into_iter()
             .filter(|(_, (_, cause))| *cause == Cause::Unsettled)
-            .map(|(group, _)| group)
+            .map(|(step_key, _)| step_key)
             .collect();
-        self.waits.retain(|group, wait| wait.cause != Cause::Unsettled || held.contains(group));
-        held.len()
+        self.waits.retain(|step_key, wait| {
+            wait.cause != Cause::Unsettled || held_back.contains(step_key)
+        });
+        held_back.len()
     }
 
     /// Returns steps that wait because a previous owner may have started them, or because runs of
@@ -177,16 +181,16 @@
     }
 
     /// Returns why the open workers could not hold the tasks even if nothing else ran.
-    fn closed_or_too_few(&self, ask: &Request<'_>, tally: &Tally<'_>) -> Cause {
-        let label = &ask.step.label;
+    fn closed_or_too_few(&self, request: &Request<'_>, tally: &Tally<'_>) -> Cause {
+        let label = &request.step.label;
         let pool = || {
             let known = self.agents.values().filter(|agent| agent.worker.is_some());
-            known.filter(|agent| agent.worker.as_ref().is_some_and(|w| w.pool == ask.pool))
+            known.filter(|agent| agent.worker.as_ref().is_some_and(|w| w.pool == request.pool))
         };
         let labelled = |worker: &&Worker| label.is_empty() || worker.labels.contains(label);
-        let shut = pool().filter(|agent| !agent.accepts_runs(&self.settings, self.now));
-        let shut = shut.filter_map(|agent| agent.worker.as_ref()).filter(labelled);
-        let more = shut.map(|worker| ask.max_tasks(usize::MAX, &worker.capacity)).sum();
+        let closed = pool().filter(|agent| !agent.accepts_runs(&self.settings, self.now));
+        let closed = closed.filter_map(|agent| agent.worker.as_ref()).filter(labelled);
+        let more = closed.map(|worker| request.max_tasks(usize::MAX, &worker.capacity)).sum();
         if pool().next().is_none() {
             return Cause::Pool;
         }
@@ -224,13 +228,13 @@
     jobs.get(id).is_some_and(|entry| !entry.progress.state.is_final())
 }
 
-fn group(candidate: &Candidate) -> StepKey {
+fn step_key_of(candidate: &Candidate) -> StepKey {
     (candidate.id.clone(), candidate.occurrence, candidate.step)
 }
 
-fn left_out(left: &BTreeMap<Cause, usize>) -> String {
-    let all: usize = left.values().sum();
+fn left_out(omitted: &BTreeMap<Cause, usize>) -> String {
+    let all: usize = omitted.values().sum();
     let causes: Vec<String> =
-        left.iter().map(|(cause, count)| format!("{count} {}", cause.name())).collect();
+        omitted.iter().map(|(cause, count)| format!("{count} {}", cause.name())).collect();
     format!("{all} more wait and were not told this second: {}", causes.join(", "))
 }
--- a/crates/dispatch/src/entry.rs
+++ b/crates/dispatch/src/entry.rs
@@ -24,7 +24,7 @@
     /// Since when the job has had no runs; none while it has any.
     pub idle_since: Option<u64>,
     /// The newest checkpoint of each task. A gang has one, at index 0.
-    pub saved: BTreeMap<Key, String>,
+    pub checkpoints: BTreeMap<Key, String>,
     /// Whether checkpoints have changed since they were last recorded.
     pub checkpoints_dirty: bool,
     /// When the checkpoints were last recorded.
@@ -45,7 +45,7 @@
     /// Whether guaranteed capacity was taken from this job because no other work could make
     /// room for another guarantee in time.
     pub guarantee_preempted: bool,
-    /// Room that is being made for steps, by occurrence and step.
+    /// Capacity that is being freed for steps, by occurrence and step.
     pub reservations: BTreeMap<(u32, u32), Reservation>,
     /// Tasks whose worker kept running after it had started them, so that they are not
     /// suspected of crashing it. A gang is listed at index 0.
@@ -54,7 +54,7 @@
     /// a worker on its own. A gang is listed at index 0.
     pub exonerated: BTreeSet<Key>,
     /// Whether a crash attributed to one of the tasks is not recorded yet. Until then none of
-    /// the job's tasks starts: a new owner would not know of the crash, and could start the
+    /// the job's tasks starts: a new owner would not learn of the crash, and could start the
     /// task again and again.
     pub crash_unrecorded: bool,
 }
@@ -124,7 +124,7 @@
 /// Progress from which on the remaining time of a run can be extrapolated.
 const MIN_EXTRAPOLATION_PERCENT: u32 = 70;
 
-/// The state of a run, as far as the owner knows.
+/// The last known state of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Phase {
     /// Its start was ordered and has not been confirmed.
@@ -135,12 +135,12 @@
     Stopping,
 }
 
-/// Workers whose room is reserved for a step while other work there is being stopped.
+/// Workers whose capacity is reserved for a step while other work there is being stopped.
 #[derive(Clone, Debug)]
 pub(crate) struct Reservation {
     /// The agent chosen for each task.
     pub agents: Vec<String>,
-    /// When the room was reserved.
+    /// When the capacity was reserved.
     pub made_at: u64,
 }
 
@@ -148,14 +148,16 @@
     /// Stores a task's checkpoint as reported by a worker. An empty one means there is none.
     pub fn update_checkpoint(&mut self, slot: Key, checkpoint: &str) {
         if !checkpoint.is_empty() {
-            self.checkpoints_dirty |= self.saved.get(&slot).is_none_or(|known| known != checkpoint);
-            self.saved.insert(slot, checkpoint.to_owned());
+            self.checkpoints_dirty |=
+                self.checkpoints.get(&slot).is_none_or(|known| known != checkpoint);
+            self.checkpoints.insert(slot, checkpoint.to_owned());
         }
     }
 
     /// Returns the checkpoints to record: those of tasks that are not done.
     pub fn open_checkpoints(&self, id: &str) -> Checkpoints {
-        let tasks = self.saved.iter().filter(|(key, _)| !self.progress.is_done(&task(id, **key)));
+        let tasks =
+            self.checkpoints.iter().filter(|(key, _)| !self.progress.is_done(&task(id, **key)));
         Checkpoints::new(tasks)
     }
 
--- a/crates/dispatch/src/evacuation.rs
+++ b/crates/dispatch/src/evacuation.rs
@@ -1,6 +1,6 @@
 //! Availability zones that operators evacuate.
 //!
-//! Nothing new starts in an evacuated zone once the owner knows of the evacuation. Runs there
+//! Nothing new starts in an evacuated zone once the owner has read the evacuation. Runs there
 //! continue to their end: a stop would discard their work, and tasks cut off when the zone goes
 //! dark start elsewhere as after any loss. Room for waiting work, guaranteed or not, is made in the
 //! other zones as if the evacuated ones did not exist, so guarantees hold as long as the other
@@ -19,7 +19,7 @@
 use crate::owner::Owner;
 
 /// Shortest time between two checks whether evacuated zones are empty. Each check scans all runs.
-const CHECK_INTERVAL_MS: u64 = 250;
+const ZONE_CHECK_INTERVAL_MS: u64 = 250;
 
 /// How long before the evacuation deadline an owner that cannot read the operators' rows stops
 /// ordering starts: an agent tries a start three times, 400 ms apart. At most a third of the
@@ -33,9 +33,9 @@
     zones: Evacuation,
     /// When the operators' rows were last known to name exactly these zones.
     last_read: u64,
-    /// True if the operators' rows were not read for too long, as was logged.
+    /// Whether the operators' rows were not read for too long, as was logged.
     unreachable: bool,
-    /// True if this owner knew of an evacuation at any time, so that agents may know of it.
+    /// Whether this owner has read of an evacuation at any time and may have notified agents of it.
     ever_evacuated: bool,
     /// The evacuated zones that were logged as empty.
     empty: BTreeSet<String>,
@@ -44,7 +44,7 @@
 }
 
 impl EvacuationState {
-    /// True if nothing may start in the availability zone.
+    /// Returns whether nothing may start in the availability zone.
     pub fn covers(&self, zone: &str) -> bool {
         self.zones.contains(zone)
     }
@@ -53,20 +53,20 @@
 impl Owner {
     /// Sets the availability zones that operators evacuate, as read by a call sent at `sent`.
     pub fn set_evacuation(&mut self, zones: &Evacuation, sent: u64) {
-        self.evacuated.last_read = self.evacuated.last_read.max(sent);
-        if self.evacuated.zones == *zones {
+        self.evacuation.last_read = self.evacuation.last_read.max(sent);
+        if self.evacuation.zones == *zones {
             return;
         }
-        let former = std::mem::replace(&mut self.evacuated.zones, zones.clone());
-        self.evacuated.ever_evacuated = true;
+        let previous_zones = std::mem::replace(&mut self.evacuation.zones, zones.clone());
+        self.evacuation.ever_evacuated = true;
         for agent in self.agents.values_mut() {
             agent.zone_evacuated = agent.worker.as_ref().is_some_and(|w| zones.contains(&w.zone));
         }
-        for zone in zones.difference(&former) {
+        for zone in zones.difference(&previous_zones) {
             self.log_evacuation_begun(zone);
         }
-        for zone in former.difference(zones) {
-            self.evacuated.empty.remove(zone);
+        for zone in previous_zones.difference(zones) {
+            self.evacuation.empty.remove(zone);
             self.log("evacuation over", zone, "its workers take work again".to_owned());
         }
         for link in self.links() {
@@ -75,14 +75,14 @@
         self.replan = true;
     }
 
-    /// True if the operators' rows were not read for so long that any zone may be evacuated by now.
-    /// Logs when that begins and ends.
+    /// Returns whether the operators' rows were not read for so long that any zone may be evacuated
+    /// by now. Logs when that begins and ends.
     pub(crate) fn operators_unreachable(&mut self, now: u64) -> bool {
         let Some(bound) = self.settings.evacuation_deadline else { return false };
-        let silent = now.saturating_sub(self.evacuated.last_read);
+        let silent = now.saturating_sub(self.evacuation.last_read);
         let unreachable = silent + START_CUTOFF_MS.min(bound / 3) > bound;
-        if unreachable != self.evacuated.unreachable {
-            self.evacuated.unreachable = unreachable;
+        if unreachable != self.evacuation.unreachable {
+            self.evacuation.unreachable = unreachable;
             match unreachable {
                 true => self.log("operators not heard", "", format!("for {silent} ms")),
                 false => self.log("operators heard", "", "again".to_owned()),
@@ -91,16 +91,16 @@
         unreachable
     }
 
-    /// The number of evacuated availability zones, and of those that may not be empty yet.
+    /// Returns the number of evacuated availability zones, and of those that may not be empty yet.
     pub fn evacuation_counts(&self) -> (usize, usize) {
-        let zones = self.evacuated.zones.zones().count();
-        (zones, zones - self.evacuated.empty.len())
+        let zones = self.evacuation.zones.zones().count();
+        (zones, zones - self.evacuation.empty.len())
     }
 
     /// Sends the evacuated zones to an agent, unless there never were any.
     pub(crate) fn send_evacuation(&mut self, link: LinkId) {
-        if self.evacuated.ever_evacuated {
-            let zones = self.evacuated.zones.clone();
+        if self.evacuation.ever_evacuated {
+            let zones = self.evacuation.zones.clone();
             self.send(link, Order::Evacuate { zones });
         }
     }
@@ -108,21 +108,22 @@
     /// Logs once for each evacuated zone when nothing runs there any more, so that it may be
     /// switched off.
     pub(crate) fn check_evacuated_zones(&mut self, now: u64) {
-        if self.evacuated.zones.is_empty() || now < self.evacuated.last_checked + CHECK_INTERVAL_MS
+        if self.evacuation.zones.is_empty()
+            || now < self.evacuation.last_checked + ZONE_CHECK_INTERVAL_MS
         {
             return;
         }
-        self.evacuated.last_checked = now;
-        // Runs started by a former owner may be unknown until then.
+        self.evacuation.last_checked = now;
+        // Runs started by a previous owner may be unknown until then.
         if !self.settled {
             return;
         }
         let busy = self.evacuated_runs();
-        let zones: Vec<String> = self.evacuated.zones.zones().map(str::to_owned).collect();
+        let zones: Vec<String> = self.evacuation.zones.zones().map(str::to_owned).collect();
         for zone in zones {
             if busy.contains_key(&zone) {
-                self.evacuated.empty.remove(&zone);
-            } else if self.evacuated.empty.insert(zone.clone()) {
+                self.evacuation.empty.remove(&zone);
+            } else if self.evacuation.empty.insert(zone.clone()) {
                 self.log("zone empty", &zone, "nothing runs there".to_owned());
             }
         }
@@ -138,8 +139,8 @@
         self.log("zone evacuated", zone, detail);
     }
 
-    /// The number of runs in each evacuated zone that has any: recorded runs, and stray runs that
-    /// are being stopped.
+    /// Returns the number of runs in each evacuated zone that has any: recorded runs, and stray
+    /// runs that are being stopped.
     fn evacuated_runs(&self) -> BTreeMap<String, usize> {
         let zone = |name: &str| {
             let agent = self.agents.get(name).filter(|agent| agent.zone_evacuated)?;
--- a/crates/dispatch/src/listing.rs
+++ b/crates/dispatch/src/listing.rs
@@ -1,11 +1,11 @@
 //! Workers that the platform's machine list no longer names.
 //!
-//! A worker that is removed, crashes or loses its machine sends no notice. As far as its agent can
-//! tell, its runs may continue until the lease expires, and waiting for that delays gangs by 10 to
-//! 19 s. The platform knows earlier: its machine list names the worker of each machine, and a
-//! worker that is not named has ended. A partitioned worker is still listed, so its lease is waited
-//! for; so is one that restarted under its id, until it reports. In 111 days with all kinds of
-//! faults, lists requested four times a second never omitted a worker that answered later.
+//! A worker that is removed, crashes or loses its machine sends no notice. For its agent the runs
+//! there may continue until the lease expires, and waiting for that delays gangs by 10 to 19 s. The
+//! platform detects it earlier: its machine list names the worker of each machine, and a worker
+//! that is not named has ended. A partitioned worker is still listed, so its lease is waited for;
+//! so is one that restarted under its id, until it reports. In 111 days with all kinds of faults,
+//! lists requested four times a second never omitted a worker that answered later.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,23 +16,23 @@
 
 /// First time between two list requests about the same workers. It doubles with each request, since
 /// a partitioned worker stays listed.
-const FIRST_INTERVAL_MS: u64 = 300;
+const FIRST_LIST_INTERVAL_MS: u64 = 300;
 /// Longest time between two list requests about the same workers.
-const MAX_INTERVAL_MS: u64 = 2000;
+const MAX_LIST_INTERVAL_MS: u64 = 2000;
 /// Shortest time between two checks whether to request a list. A partition hits many workers at
 /// once.
-const CHECK_INTERVAL_MS: u64 = 100;
+const LIST_CHECK_INTERVAL_MS: u64 = 100;
 
 /// The state of the requests for machine lists.
 #[derive(Debug)]
 pub(crate) struct Listing {
     /// When a list was last requested.
     requested_at: u64,
-    /// Time until the next request, if no further worker is missed.
+    /// Time until the next request, if no further worker becomes unresponsive.
     interval: u64,
     /// When the need for a list is next checked.
-    next_check: u64,
-    /// Ids of missed workers that the last list did not name.
+    next_check_at: u64,
+    /// Ids of unresponsive workers that the last list did not name.
     unnamed: BTreeSet<String>,
 }
 
@@ -40,8 +40,8 @@
     fn default() -> Listing {
         Listing {
             requested_at: 0,
-            interval: FIRST_INTERVAL_MS,
-            next_check: 0,
+            interval: FIRST_LIST_INTERVAL_MS,
+            next_check_at: 0,
             unnamed: BTreeSet::new(),
         }
     }
@@ -51,31 +51,31 @@
     /// Requests a machine list if something runs at a worker that may have ended, or if older jobs
     /// wait for members that have not answered.
     pub(crate) fn poll_machines(&mut self, now: u64) {
-        if !self.settings.lists_machines || now < self.listing.next_check {
+        if !self.settings.lists_machines || now < self.listing.next_check_at {
             return;
         }
-        self.listing.next_check = now + CHECK_INTERVAL_MS;
-        let Some(newest) = self.missed_since(now) else {
-            self.listing.interval = FIRST_INTERVAL_MS;
+        self.listing.next_check_at = now + LIST_CHECK_INTERVAL_MS;
+        let Some(newest) = self.latest_unresponsive_since(now) else {
+            self.listing.interval = FIRST_LIST_INTERVAL_MS;
             return;
         };
-        let newly_missed = newest > self.listing.requested_at;
-        if !newly_missed && now < self.listing.requested_at + self.listing.interval {
+        let newly_unresponsive = newest > self.listing.requested_at;
+        if !newly_unresponsive && now < self.listing.requested_at + self.listing.interval {
             return;
         }
-        self.listing.interval = if newly_missed {
-            FIRST_INTERVAL_MS
+        self.listing.interval = if newly_unresponsive {
+            FIRST_LIST_INTERVAL_MS
         } else {
-            (self.listing.interval * 2).min(MAX_INTERVAL_MS)
+            (self.listing.interval * 2).min(MAX_LIST_INTERVAL_MS)
         };
         self.listing.requested_at = now;
         self.outputs.push(Output::ListMachines);
     }
 
-    /// Since when the most recently missed worker with runs has been missed; none if no list is
-    /// needed.
-    fn missed_since(&self, now: u64) -> Option<u64> {
-        let missed: BTreeMap<&str, u64> = self
+    /// Returns since when the most recently unresponsive worker with runs has been so; none if no
+    /// list is needed.
+    fn latest_unresponsive_since(&self, now: u64) -> Option<u64> {
+        let unresponsive: BTreeMap<&str, u64> = self
             .agents
             .iter()
             .filter_map(|(name, agent)| {
@@ -84,11 +84,11 @@
             .collect();
         let (granted, _) = self.predecessor_grants();
         let unsettled = Some(granted).filter(|&granted| !self.settled && now >= granted);
-        if missed.is_empty() {
+        if unresponsive.is_empty() {
             return unsettled;
         }
         let runs = self.jobs.values().flat_map(|entry| entry.runs.values());
-        let with_runs = runs.filter_map(|placed| missed.get(placed.agent.as_str()).copied());
+        let with_runs = runs.filter_map(|placed| unresponsive.get(placed.agent.as_str()).copied());
         with_runs.chain(unsettled).max()
     }
 
@@ -122,23 +122,24 @@
         }
     }
 
-    /// Agents whose workers were missed when the list was requested and are not on it.
+    /// Returns the agents whose workers were unresponsive when the list was requested and are not
+    /// on it.
     fn unnamed<'a>(
         &'a self,
         listed: &'a BTreeSet<&str>,
         sent: u64,
     ) -> impl Iterator<Item = (&'a str, &'a Worker)> {
-        let missed = move |since: Option<u64>| since.is_some_and(|since| since <= sent);
+        let unresponsive = move |since: Option<u64>| since.is_some_and(|since| since <= sent);
         self.agents.iter().filter_map(move |(name, agent)| {
             let worker = agent.worker.as_ref()?;
-            let candidate = missed(agent.unresponsive_since) && !agent.worker_left;
+            let candidate = unresponsive(agent.unresponsive_since) && !agent.worker_left;
             (candidate && !listed.contains(worker.id.as_str())).then_some((name.as_str(), worker))
         })
     }
 
     /// Marks all agents as answered if every listed worker has answered under this epoch and the
-    /// list is newer than the last lease that a former owner may have granted. Then no run of a
-    /// former owner can be unknown: workers that are not listed run nothing, and workers that
+    /// list is newer than the last lease that a previous owner may have granted. Then no run of a
+    /// previous owner can be unknown: workers that are not listed run nothing, and workers that
     /// joined later got no lease from it.
     fn settle_by_list(&mut self, listed: &BTreeSet<&str>, sent: u64) {
         let (granted, _) = self.predecessor_grants();
--- a/crates/dispatch/src/mirror.rs
+++ b/crates/dispatch/src/mirror.rs
@@ -27,7 +27,7 @@
     pub waves: BTreeMap<u64, WaveRecord>,
     /// All changes up to this version of the table are applied.
     pub version: u64,
-    /// When this process first saw that a job had ended, in milliseconds.
+    /// When this process first read that a job had ended, in milliseconds.
     ended_at: BTreeMap<Id, u64>,
 }
 
@@ -41,8 +41,8 @@
     /// The version of the row that held the progress.
     progress_version: u64,
     /// Its recorded checkpoints.
-    pub saved: Checkpoints,
-    /// True if a client cancelled it.
+    pub checkpoints: Checkpoints,
+    /// Whether a client cancelled it.
     pub cancelled: bool,
 }
 
@@ -78,12 +78,13 @@
         }
     }
 
-    /// The recorded progress and the version of its row.
+    /// Returns the recorded progress and the version of its row.
     pub fn recorded_progress(&self) -> Option<(Progress, u64)> {
         self.progress.clone().map(|progress| (progress, self.progress_version))
     }
 
-    /// The job's state as shown to clients: a cancelled job that has not ended counts as cancelled.
+    /// Returns the job's state as shown to clients: a cancelled job that has not ended counts as
+    /// cancelled.
     pub fn state(&self) -> State {
         let state = self.progress.as_ref().map_or(State::Queued, |progress| progress.state);
         if self.cancelled && !state.is_final() { State::Cancelled } else { state }
@@ -101,9 +102,10 @@
         for (id, view) in known {
             let later = view.job.as_ref().is_some_and(|(_, stored)| *stored > version);
             if view.progress_version > version
-                && let (Some(progress), Some(now)) = (view.progress.clone(), self.jobs.get_mut(&id))
+                && let (Some(progress), Some(current)) =
+                    (view.progress.clone(), self.jobs.get_mut(&id))
             {
-                now.update_progress(progress, view.progress_version);
+                current.update_progress(progress, view.progress_version);
             }
             // Stored since the rows were read.
             if later {
@@ -134,39 +136,39 @@
         }
         let (kind, name) = change.key.split_once('/')?;
         let Some(value) = &change.value else {
-            self.drop(kind, name);
+            self.remove_row(kind, name);
             return (kind == "node").then(|| RowEvent::NodeRemoved(name.to_owned()));
         };
         let read = match kind {
-            "job" => return Some(self.read_job(name, value, change)),
+            "job" => return Some(self.apply_job(name, value, change)),
             "run" => serde_json::from_str(value).map(|progress| {
                 let view = self.jobs.entry(name.to_owned()).or_default();
                 view.update_progress(progress, change.version);
                 None
             }),
-            "save" => serde_json::from_str(value).map(|saved| {
+            "save" => serde_json::from_str(value).map(|checkpoints| {
                 // The row may arrive after the job's rows were deleted.
                 if let Some(view) = self.jobs.get_mut(name) {
-                    view.saved = saved;
+                    view.checkpoints = checkpoints;
                 }
                 None
             }),
-            "wave" => serde_json::from_str(value).map(|seen: WaveRecord| {
-                self.waves.extend(name.parse().ok().map(|number: u64| (number, seen)));
+            "wave" => serde_json::from_str(value).map(|record: WaveRecord| {
+                self.waves.extend(name.parse().ok().map(|number: u64| (number, record)));
                 None
             }),
             "stop" => serde_json::from_str(value).map(|IgnoredAny| {
                 self.jobs.entry(name.to_owned()).or_default().cancelled = true;
                 Some(RowEvent::JobCancelled(name.to_owned()))
             }),
-            "node" => return Some(self.read_node(name, value, change)),
+            "node" => return Some(self.apply_node(name, value, change)),
             _ => Ok(None),
         };
         read.unwrap_or_else(|error| Some(malformed(change, error.to_string())))
     }
 
-    /// The number of entries that precede this one as candidates for the ownership: those on
-    /// larger machines, and of equal machines those with a lesser name. The last owner is no
+    /// Returns the number of entries that precede this one as candidates for the ownership: those
+    /// on larger machines, and of equal machines those with an earlier name. The last owner is no
     /// candidate, since it is being replaced.
     ///
     /// An owner's load grows with the number of workers. On an eighth of a core with 160 workers
@@ -184,8 +186,8 @@
         before.count()
     }
 
-    /// Jobs that ended at least `retention` milliseconds ago, at most `limit` of them. Their rows
-    /// are deleted, or the table and every process's memory would grow without bound.
+    /// Returns the jobs that ended at least `retention` milliseconds ago, at most `limit` of them.
+    /// Their rows are deleted, or the table and every process's memory would grow without bound.
     pub fn expired_jobs(&mut self, now: u64, retention: u64, limit: usize) -> Vec<Id> {
         let Mirror { jobs, ended_at, .. } = self;
         ended_at.retain(|id, _| jobs.contains_key(id));
@@ -196,7 +198,7 @@
         expired.take(limit).map(|(id, _)| id.clone()).collect()
     }
 
-    /// The number of jobs of a queue of which no task has started.
+    /// Returns the number of jobs of a queue of which no task has started.
     pub fn queued_jobs(&self, queue: &str) -> usize {
         let queued = |view: &&JobView| {
             let job = view.job.as_ref().map(|(job, _)| job);
@@ -208,7 +210,7 @@
 
     /// Applies a job's row. A job that no entry would have accepted is left out: a step that
     /// depends on one that does not exist would wait forever.
-    fn read_job(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
+    fn apply_job(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
         let job: Result<Job, String> = serde_json::from_str(value).map_err(|e| e.to_string());
         match job.and_then(|job| job.check().map(|()| job).map_err(|e| e.to_string())) {
             Err(detail) => malformed(change, detail),
@@ -222,7 +224,7 @@
 
     /// Applies a process's row. A row without a valid address is left out: a new owner would wait
     /// a whole lease for the runs of an agent that does not exist.
-    fn read_node(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
+    fn apply_node(&mut self, name: &str, value: &str, change: &Change) -> RowEvent {
         let node: Result<Node, String> = serde_json::from_str(value).map_err(|e| e.to_string());
         match node {
             Err(detail) => malformed(change, detail),
@@ -269,7 +271,7 @@
         }
     }
 
-    fn drop(&mut self, kind: &str, name: &str) {
+    fn remove_row(&mut self, kind: &str, name: &str) {
         match kind {
             "job" => {
                 self.jobs.remove(name);
--- a/crates/dispatch/src/owner.rs
+++ b/crates/dispatch/src/owner.rs
@@ -5,12 +5,11 @@
 
 use crate::agent::Agent;
 use crate::checkpoints::Checkpoints;
-use crate::detail::list;
 use crate::dismissal::Dismissal;
 use crate::election::OWNER_TIMEOUT_MS;
 use crate::entry::{Entry, Key, Phase, Placement};
+use crate::estimator::Estimator;
 use crate::evacuation::EvacuationState;
-use crate::guide::Guide;
 use crate::listing::Listing;
 use crate::maintenance::Maintenance;
 use crate::output::Output;
@@ -18,6 +17,7 @@
 use crate::settings::Settings;
 use crate::settlement::SettlementLog;
 use crate::times::Times;
+use crate::wait_detail::list;
 use crate::waits::Waits;
 
 /// The scheduling state of all unfinished jobs and of all workers.
@@ -63,13 +63,13 @@
     /// Whether `times` has changed since it was last recorded.
     pub(crate) times_changed: bool,
     /// Whether a request to the service that clears steps for workers is in flight.
-    pub(crate) advice_pending: bool,
+    pub(crate) clearance_pending: bool,
     /// When the next task may return to a worker at which it failed.
     pub(crate) avoidance_ends_at: Option<u64>,
     /// When the next reservation expires.
     pub(crate) reservation_ends_at: Option<u64>,
     /// When a clearance request that got no answer may be retried.
-    pub(crate) advice_retry_at: Option<u64>,
+    pub(crate) clearance_retry_at: Option<u64>,
     /// Whether a batch from [`Owner::record`] has not been acknowledged yet.
     pub(crate) record_in_flight: bool,
     /// Whether something changed that may let work start, so that the next tick must plan.
@@ -81,7 +81,7 @@
     /// Whether every run that a previous owner may have started is accounted for.
     pub(crate) settled: bool,
     /// Logging of members that delay the start of older jobs.
-    pub(crate) awaited: SettlementLog,
+    pub(crate) settlement_log: SettlementLog,
     /// Which workers were closed when waiting steps were last reviewed.
     pub(crate) review: Review,
     /// Steps that wait for their start, and what has been logged about them.
@@ -91,9 +91,9 @@
     /// Groups of several tasks that had just started at a worker when it crashed.
     pub(crate) suspect_groups: Vec<Vec<Task>>,
     /// Waves of maintenance.
-    pub(crate) upkeep: Maintenance,
+    pub(crate) maintenance: Maintenance,
     /// Availability zones in which nothing starts.
-    pub(crate) evacuated: EvacuationState,
+    pub(crate) evacuation: EvacuationState,
     /// Id of the next unit of runs that stop together.
     pub(crate) next_unit: u64,
     /// The next time of day at which the passage of time alone may let work start.
@@ -136,22 +136,22 @@
             dirty_urgent: false,
             times: Times::default(),
             times_changed: false,
-            advice_pending: false,
+            clearance_pending: false,
             avoidance_ends_at: None,
             reservation_ends_at: None,
-            advice_retry_at: None,
+            clearance_retry_at: None,
             record_in_flight: false,
             replan: true,
             majority_since: None,
             predecessor_ended: false,
             settled: false,
-            awaited: SettlementLog::default(),
+            settlement_log: SettlementLog::default(),
             review: Review::default(),
             waits: Waits::default(),
             listing: Listing::default(),
             suspect_groups: Vec::new(),
-            upkeep: Maintenance::default(),
-            evacuated: EvacuationState::default(),
+            maintenance: Maintenance::default(),
+            evacuation: EvacuationState::default(),
             next_unit: 1,
             replan_at: None,
             outputs: Vec::new(),
@@ -223,7 +223,7 @@
             progress: progress.unwrap_or_default(),
             runs: BTreeMap::new(),
             idle_since: None,
-            saved: BTreeMap::new(),
+            checkpoints: BTreeMap::new(),
             checkpoints_dirty: false,
             checkpoints_recorded_at: 0,
             run_numbers: BTreeMap::new(),
@@ -264,10 +264,10 @@
     }
 
     /// Loads a job's recorded checkpoints. Checkpoints that workers have reported since are kept.
-    pub fn restore_checkpoints(&mut self, id: &str, saved: &Checkpoints) {
+    pub fn restore_checkpoints(&mut self, id: &str, checkpoints: &Checkpoints) {
         if let Some(entry) = self.jobs.get_mut(id) {
-            for (key, checkpoint) in saved.by_task() {
-                entry.saved.entry(key).or_insert(checkpoint);
+            for (key, checkpoint) in checkpoints.by_task() {
+                entry.checkpoints.entry(key).or_insert(checkpoint);
             }
         }
     }
@@ -344,11 +344,11 @@
         }
         self.poll_machines(now);
         self.advance_waves(now, wall);
-        // Without this, a job whose reserved room did not become free would wait next to idle
+        // Without this, a job whose reserved capacity did not become free would wait next to idle
         // workers until some other event caused a plan.
         self.replan |= self.reservation_ends_at.take_if(|at| *at <= now).is_some();
         let due = self.replan_at.is_some_and(|due| due <= wall);
-        if due || self.advice_retry_at.take_if(|at| *at <= now).is_some() {
+        if due || self.clearance_retry_at.take_if(|at| *at <= now).is_some() {
             self.replan = true;
         }
         if self.replan && !self.operators_unreachable(now) {
@@ -363,7 +363,7 @@
         for agent in self.agents.values_mut() {
             agent.update_liveness(&self.settings, now);
         }
-        self.close_unresponsive(now);
+        self.close_silent_connections(now);
         self.expire_leases(now);
         self.stop_unlisted(now);
         self.check_evacuated_zones(now);
@@ -402,11 +402,11 @@
     pub(crate) fn log_job_end(&mut self, id: &str, state: State) {
         let Some(entry) = self.jobs.get(id) else { return };
         let pools = self.pools();
-        let guide = Guide { times: &self.times, pools: &pools };
+        let estimator = Estimator { times: &self.times, pools: &pools };
         let detail = match entry.job.schedule {
             Some(_) => format!("{state:?}, scheduled"),
             None => {
-                let objective = guide.objective_of(entry, 0).duration_ms();
+                let objective = estimator.objective_of(entry, 0).duration_ms();
                 format!("{state:?}, objective {objective} ms")
             }
         };
--- a/crates/dispatch/src/blame.rs
+++ b/crates/dispatch/src/quarantine.rs
@@ -25,11 +25,11 @@
             entry.avoided_workers.entry(slot).or_default().insert(worker.incarnation(), until);
             self.avoidance_ends_at = Some(self.avoidance_ends_at.map_or(until, |at| at.min(until)));
         }
-        let closed = self.agents.values().filter(|agent| now < agent.blame.until).count();
+        let closed = self.agents.values().filter(|agent| now < agent.quarantine.until).count();
         let most = max_quarantined(self.agents.len());
         let Some(agent) = self.agents.get_mut(name) else { return };
-        if agent.blame.record_failure(&task.job) && closed < most {
-            let ms = agent.blame.begin(now);
+        if agent.quarantine.record_failure(&task.job) && closed < most {
+            let ms = agent.quarantine.begin(now);
             self.log("worker closed", name, format!("for {ms} ms: all recent tasks failed"));
         }
     }
@@ -41,23 +41,23 @@
             self.replan = true;
             self.avoidance_ends_at = self.next_avoid_expiry(now);
         }
-        for agent in self.agents.values_mut().filter(|agent| agent.blame.until > 0) {
-            if now >= agent.blame.until {
-                agent.blame.until = 0;
+        for agent in self.agents.values_mut().filter(|agent| agent.quarantine.until > 0) {
+            if now >= agent.quarantine.until {
+                agent.quarantine.until = 0;
                 self.replan = true;
             }
         }
     }
 
-    /// The earliest time at which a task may return to a worker that it avoids.
+    /// Returns the earliest time at which a task may return to a worker that it avoids.
     fn next_avoid_expiry(&self, now: u64) -> Option<u64> {
         let entries = self.jobs.values().flat_map(|entry| entry.avoided_workers.values());
         entries.flat_map(|workers| workers.values().copied()).filter(|until| *until > now).min()
     }
 
-    /// The places of workers that the candidate avoids because its tasks failed there. Bounded, so
-    /// that some places stay open.
-    pub(crate) fn avoided_places(
+    /// Returns the indexes of workers that the candidate avoids because its tasks failed there.
+    /// Bounded, so that some workers stay open.
+    pub(crate) fn avoided_indexes(
         &self,
         candidate: &Candidate,
         snapshot: &Snapshot,
@@ -74,11 +74,11 @@
         let avoided = slots.filter_map(|slot| entry.avoided_workers.get(&slot)).flatten();
         let workers: BTreeSet<&Incarnation> =
             avoided.filter(|(_, until)| now < **until).map(|(worker, _)| worker).collect();
-        let places = snapshot.spots.iter().enumerate();
-        let avoided: Vec<usize> = places
-            .filter(|(_, spot)| workers.contains(&spot.incarnation))
-            .map(|(at, _)| at)
+        let indexed = snapshot.workers.iter().enumerate();
+        let avoided: Vec<usize> = indexed
+            .filter(|(_, worker)| workers.contains(&worker.incarnation))
+            .map(|(index, _)| index)
             .collect();
-        limit_avoided(avoided, snapshot.spots.len())
+        limit_avoided(avoided, snapshot.workers.len())
     }
 }
--- a/crates/dispatch/src/record.rs
+++ b/crates/dispatch/src/record.rs
@@ -16,19 +16,20 @@
 
 /// Most jobs in one transaction. The table accepts 100 rows; the others are for the owner's row,
 /// checkpoints and deleted rows.
-const MAX_JOBS: usize = 50;
+const MAX_BATCH_JOBS: usize = 50;
 /// Most jobs whose checkpoints are in one transaction.
-const MAX_CHECKPOINTED_JOBS: usize = 15;
+const MAX_BATCH_CHECKPOINT_JOBS: usize = 15;
 /// Most departed agents whose rows one transaction deletes.
-const MAX_DEPARTED: usize = 8;
+const MAX_BATCH_DEPARTED_AGENTS: usize = 8;
 
 impl Owner {
-    /// The next batch to record; none while one is in flight. [`Owner::on_recorded`] must follow.
+    /// Returns the next batch to record; none while one is in flight. [`Owner::on_recorded`] must
+    /// follow.
     pub fn next_batch(&mut self) -> Option<Batch> {
         if self.record_in_flight {
             return None;
         }
-        let ids: Vec<Id> = self.dirty.iter().take(MAX_JOBS).cloned().collect();
+        let ids: Vec<Id> = self.dirty.iter().take(MAX_BATCH_JOBS).cloned().collect();
         let mut batch =
             Batch { times: self.times_changed.then(|| self.times.clone()), ..Batch::default() };
         self.times_changed = false;
@@ -48,15 +49,16 @@
             }
             self.dirty_urgent = false;
         }
-        batch.departed = self.departed_agents().into_iter().take(MAX_DEPARTED).collect();
-        self.set_dropping(&batch.departed, true);
+        batch.departed =
+            self.departed_agents().into_iter().take(MAX_BATCH_DEPARTED_AGENTS).collect();
+        self.set_removal_pending(&batch.departed, true);
         batch.checkpoints = self.due_checkpoints();
         batch.waves = self.unrecorded_waves();
         self.record_in_flight = true;
         Some(batch)
     }
 
-    /// Checkpoints that are due: each job's are recorded at most once per
+    /// Returns the checkpoints that are due: each job's are recorded at most once per
     /// `checkpoint_interval`, along with other changes.
     fn due_checkpoints(&mut self) -> Vec<(Id, Checkpoints)> {
         let (now, interval) = (self.now, self.settings.checkpoint_interval);
@@ -65,7 +67,7 @@
         };
         let mut found = Vec::new();
         for (id, entry) in self.jobs.iter_mut() {
-            if found.len() < MAX_CHECKPOINTED_JOBS && due(&entry) {
+            if found.len() < MAX_BATCH_CHECKPOINT_JOBS && due(&entry) {
                 entry.checkpoints_dirty = false;
                 entry.checkpoints_recorded_at = now;
                 found.push((id.clone(), entry.open_checkpoints(id)));
@@ -74,8 +76,8 @@
         found
     }
 
-    /// Agents whose rows are to be deleted: their worker has shut down, or there has been no
-    /// connection or no worker for longer than any lease, and no run is recorded there.
+    /// Returns the agents whose rows are to be deleted: their worker has shut down, or there has
+    /// been no connection or no worker for longer than any lease, and no run is recorded there.
     ///
     /// A new owner waits for all members before it starts older jobs. Without this it would wait
     /// for the lease of every machine that was ever removed, which delays work by 6 s after each
@@ -99,12 +101,12 @@
         names.map(|(name, _)| name.clone()).collect()
     }
 
-    /// True if clients wait for a change that is not recorded yet.
+    /// Returns whether clients wait for a change that is not recorded yet.
     pub fn has_urgent_changes(&self) -> bool {
         self.dirty_urgent
     }
 
-    /// True if there are unrecorded changes or unacknowledged ends.
+    /// Returns whether there are unrecorded changes or unacknowledged ends.
     pub fn has_unrecorded(&self) -> bool {
         !self.dirty.is_empty()
             || self.agents.values().any(|agent| agent.last_end > agent.acknowledged_end)
@@ -114,7 +116,7 @@
     pub fn on_recorded(&mut self, batch: &Batch, done: bool) {
         self.record_in_flight = false;
         if !done {
-            self.set_dropping(&batch.departed, false);
+            self.set_removal_pending(&batch.departed, false);
             for (id, _) in &batch.jobs {
                 self.dirty.insert(id.clone());
             }
--- a/crates/dispatch/src/reports.rs
+++ b/crates/dispatch/src/reports.rs
@@ -40,8 +40,8 @@
             agent.last_end = 0;
             agent.acknowledged_end = 0;
             agent.consecutive_failures = 0;
-            agent.doubted_until = 0;
-            agent.blame.reset();
+            agent.deprioritized_until = 0;
+            agent.quarantine.reset();
             agent.refusals = Refusals::default();
             agent.shutdown_requested = false;
         }
@@ -49,7 +49,7 @@
             agent.silent_ms = 0;
         }
         let changed = agent.worker.as_ref().is_some_and(|known| known.eligibility_differs(&worker));
-        agent.zone_evacuated = self.evacuated.covers(&worker.zone);
+        agent.zone_evacuated = self.evacuation.covers(&worker.zone);
         // Agents repeat the worker's last report, so the warm-up time counts from the first.
         if agent.worker.as_ref().is_none_or(|known| known.cold != worker.cold) || new_incarnation {
             agent.cold_until = now + worker.cold;
@@ -63,12 +63,12 @@
         agent.listed_runs = running.iter().map(|run| (run.task.clone(), run.number)).collect();
         self.replan |= !std::mem::take(&mut agent.strays).is_empty();
         // A worker that broke its connections is schedulable again once it answers.
-        let recovered = fenced && agent.crash.is_some();
+        let recovered = fenced && agent.suspected_crash.is_some();
         if restarted || first_answer || changed || recovered {
             self.replan = true;
         }
         if new_incarnation {
-            self.drop_former_runs(name, &from, now);
+            self.remove_previous_runs(name, &from, now);
         }
         for end in ended {
             self.on_end(name, &from, end, now);
@@ -79,7 +79,7 @@
         if fenced {
             self.clear_suspects(name, &from, running, stamp);
             self.throttle(name, running);
-            self.drop_missing(name, running, now);
+            self.remove_missing_runs(name, running, now);
             self.stop_stalled_runs(name, now);
         }
         if first_answer {
@@ -92,9 +92,9 @@
     /// Calls to a worker name it by id only. A start that the previous incarnation never listed
     /// may have reached the current one, or may still reach it. Its task would run twice if it
     /// were started elsewhere, so it is stopped at the current incarnation first.
-    fn drop_former_runs(&mut self, name: &str, from: &Incarnation, now: u64) {
-        let former = self.runs_where(|placed| placed.agent == name && placed.worker != *from);
-        for (job, key) in former {
+    fn remove_previous_runs(&mut self, name: &str, from: &Incarnation, now: u64) {
+        let previous = self.runs_where(|placed| placed.agent == name && placed.worker != *from);
+        for (job, key) in previous {
             let entry = self.jobs.get_mut(&job);
             let Some(placed) = entry.and_then(|entry| entry.runs.get_mut(&key)) else { continue };
             if placed.worker.id == from.id && placed.first_listed_at.is_none() {
@@ -112,7 +112,7 @@
     /// Handles a worker's notice that it is shutting down.
     pub(crate) fn on_left(&mut self, name: &str, from: &Incarnation) {
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.crash = None;
+            agent.suspected_crash = None;
         }
         self.end_incarnation(name, from, "left");
     }
@@ -123,15 +123,15 @@
             agent.reconciled = true;
             agent.worker_left = true;
         }
-        let lost = self.runs_where(|placed| placed.agent == name && placed.worker == *from);
-        for (job, key) in lost {
+        let ended = self.runs_where(|placed| placed.agent == name && placed.worker == *from);
+        for (job, key) in ended {
             self.log("run lost", &job, format!("{key:?}: worker at {name} {how}"));
             self.remove_run(&job, key);
         }
     }
 
     /// Sends pending orders again after a reconnect, since they may have been lost with the
-    /// former connection. Starts and stops are idempotent.
+    /// previous connection. Starts and stops are idempotent.
     fn resend_orders(&mut self, name: &str, from: &Incarnation, now: u64) {
         let evacuated = self.agents.get(name).is_some_and(|agent| agent.zone_evacuated);
         for (job, key) in self.runs_where(|placed| placed.agent == name && placed.worker == *from) {
@@ -150,7 +150,8 @@
                 Phase::Stopping => Order::Stop { worker, task: task(&job, key), run },
                 Phase::Starting => {
                     let spec = entry.job.spec.clone();
-                    let saved = entry.saved.get(&entry.slot(key)).cloned().unwrap_or_default();
+                    let saved =
+                        entry.checkpoints.get(&entry.slot(key)).cloned().unwrap_or_default();
                     let ticket = entry.ticket(key, from, now).unwrap_or_default().to_owned();
                     let task = task(&job, key);
                     Order::Start { worker, task, run, spec, saved, ticket, again: true }
@@ -167,7 +168,7 @@
             return self.stop_stray(name, from, &run.task, run.number, now);
         };
         let slot = entry.slot(key);
-        // A former owner started the later run only after the earlier one had ended, but the
+        // A previous owner started the later run only after the earlier one had ended, but the
         // agent of a lost worker still lists what ran there. Without this check the later,
         // live run would be stopped as a stray and its task started a second time.
         let has_earlier = entry.runs.get(&key).is_some_and(|placed| placed.run < run.number);
@@ -196,7 +197,7 @@
                 self.stop_stray(name, from, &run.task, run.number, now);
             }
             None => {
-                // A former owner started it.
+                // A previous owner started it.
                 let unit = self.next_unit;
                 self.next_unit += 1;
                 let placed = Placement {
@@ -249,7 +250,7 @@
     }
 
     /// Drops runs that the worker has not listed for `missing_timeout`.
-    fn drop_missing(&mut self, name: &str, running: &[Run], now: u64) {
+    fn remove_missing_runs(&mut self, name: &str, running: &[Run], now: u64) {
         let bound = self.settings.missing_timeout;
         let Some(agent) = self.agents.get_mut(name) else { return };
         // The scan covers all runs and statuses arrive with each end, so it is rate-limited.
@@ -297,7 +298,7 @@
             format!("{} run {} {:?} at {name}{timing}", end.task, end.run, end.how),
         );
         if matches!(end.how, How::Done | How::Failed) {
-            self.on_start_outlived(&end.task);
+            self.on_start_survived(&end.task);
         }
         match end.how {
             How::Done => {
@@ -346,8 +347,8 @@
     fn on_done(&mut self, name: &str, task: &Task, now: u64) {
         if let Some(agent) = self.agents.get_mut(name) {
             agent.consecutive_failures = 0;
-            agent.doubted_until = 0;
-            agent.blame.reset();
+            agent.deprioritized_until = 0;
+            agent.quarantine.reset();
         }
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         let before = entry.progress.state;
@@ -374,7 +375,8 @@
         let cooldown = self.settings.failure_cooldown;
         if let Some(agent) = self.agents.get_mut(name) {
             agent.consecutive_failures += 1;
-            agent.doubted_until = now + cooldown * u64::from(agent.consecutive_failures.min(3));
+            agent.deprioritized_until =
+                now + cooldown * u64::from(agent.consecutive_failures.min(3));
         }
         self.record_failure(name, task, now);
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
@@ -415,7 +417,7 @@
             placed.phase = Phase::Running;
         }
         if let Some(agent) = self.agents.get_mut(&placed.agent) {
-            // An accepted start ends the worker's back-off early.
+            // An accepted start ends the worker's backoff early.
             self.replan |= agent.refusals.until > 0;
             agent.refusals = Refusals::default();
         }
@@ -447,18 +449,18 @@
         }
         self.replan = true;
         self.log("start refused", &task.job, format!("{task} run {run} {why:?} at {name}"));
-        let worker_blameless = matches!(
+        let worker_not_at_fault = matches!(
             why,
             Refused::Leaving | Refused::Old | Refused::Lease | Refused::Fence | Refused::Ticket
         );
-        if !worker_blameless {
+        if !worker_not_at_fault {
             self.back_off(name, now);
         }
         self.stop_gang(&task.job, key, now);
     }
 
     /// Stops all members of the task's gang, if it is in one. Called when one member does not
-    /// start: the others would wait in vain and hold their places.
+    /// start: the others would wait in vain and hold their workers.
     fn stop_gang(&mut self, id: &str, key: Key, now: u64) {
         let Some(entry) = self.jobs.get(id) else { return };
         if !entry.step(key).is_some_and(|step| step.gang) {
@@ -486,7 +488,7 @@
     }
 }
 
-/// The key of a task within its job.
+/// Returns the key of a task within its job.
 pub(crate) fn task_key(task: &Task) -> Key {
     (task.occurrence, task.step, task.index)
 }
--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -1,7 +1,7 @@
 //! Re-evaluates why steps wait when workers have closed or opened without a round of planning.
 //!
 //! A worker that drains or stops responding lets nothing new start, so it causes no planning.
-//! A step that waited for room may then wait for that worker instead.
+//! A step that waited for capacity may then wait for that worker instead.
 
 use crate::cause::Cause;
 use crate::close_reason::CloseReason;
@@ -27,25 +27,25 @@
             return;
         }
         self.review.next_at = now + REVIEW_INTERVAL_MS;
-        let shut = |agent| CloseReason::of(agent, &self.settings, now).is_some();
-        let agents = self.agents.iter().filter(|(_, agent)| shut(agent));
-        let shut: Vec<String> = agents.map(|(name, _)| name.clone()).collect();
-        if shut == self.review.closed_agents {
+        let closed = |agent| CloseReason::of(agent, &self.settings, now).is_some();
+        let agents = self.agents.iter().filter(|(_, agent)| closed(agent));
+        let closed: Vec<String> = agents.map(|(name, _)| name.clone()).collect();
+        if closed == self.review.closed_agents {
             return;
         }
-        self.review.closed_agents = shut;
+        self.review.closed_agents = closed;
         let waits = self.waits.waiting_for_workers();
         if waits.is_empty() {
             return;
         }
         let snapshot = self.snapshot(now);
-        let restrictions = vec![Restriction::None; snapshot.spots.len()];
-        for (group, wait) in waits {
-            let found = self.cause(&group, wait.tasks, &snapshot.spots, &restrictions);
+        let restrictions = vec![Restriction::None; snapshot.workers.len()];
+        for (step_key, wait) in waits {
+            let found = self.cause(&step_key, wait.tasks, &snapshot.workers, &restrictions);
             let changed =
                 |cause: &Cause| cause.is_lack_of_workers() || wait.cause.is_lack_of_workers();
             if let Some((cause, room)) = found.filter(|(cause, _)| changed(cause)) {
-                self.waits.record(group, (wait.tasks, cause), room, now);
+                self.waits.record(step_key, (wait.tasks, cause), room, now);
             }
         }
     }
--- a/crates/dispatch/src/suspects.rs
+++ b/crates/dispatch/src/suspects.rs
@@ -1,7 +1,7 @@
 //! Tasks suspected of crashing the workers that start them.
 //!
 //! A task that was just started at a worker when it crashed is a suspect. Suspects are retried in
-//! isolation, cleared once they outlive a start, and their job fails after [`CRASHES`] crashes.
+//! isolation, cleared once they outlive a start, and their job fails after [`CRASH_LIMIT`] crashes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
 
 /// Most crashes with several suspects that are remembered. A task that is retried alone crashes
 /// its worker within a second, and few workers crash in that time.
-const MAX_SHARED_CRASHES: usize = 32;
+const MAX_SUSPECT_GROUPS: usize = 32;
 
 /// A worker that broke its connections, and the starts that may have crashed it.
 #[derive(Clone, Debug)]
@@ -44,15 +44,16 @@
             return;
         }
         let restarted = current.is_none() && agent.worker.is_some();
-        agent.crash = Some(SuspectedCrash { worker, starts });
+        agent.suspected_crash = Some(SuspectedCrash { worker, starts });
         if restarted {
             self.attribute_crash(name);
         }
     }
 
-    /// True if the previous incarnation of the agent's worker may have been crashed by a task.
+    /// Returns whether the previous incarnation of the agent's worker may have been crashed by a
+    /// task.
     pub(crate) fn follows_crash(&self, name: &str, worker: &Incarnation) -> bool {
-        let crash = self.agents.get(name).and_then(|agent| agent.crash.as_ref());
+        let crash = self.agents.get(name).and_then(|agent| agent.suspected_crash.as_ref());
         crash.is_some_and(|crash| crash.worker != *worker)
     }
 
@@ -60,7 +61,7 @@
     /// of a task that has crashed too many workers in a row fails.
     pub(crate) fn attribute_crash(&mut self, name: &str) {
         let Some(agent) = self.agents.get_mut(name) else { return };
-        let Some(SuspectedCrash { starts, .. }) = agent.crash.take() else { return };
+        let Some(SuspectedCrash { starts, .. }) = agent.suspected_crash.take() else { return };
         let among = starts.len();
         for (task, run) in &starts {
             self.count_crash(name, task, *run, among);
@@ -70,7 +71,7 @@
             [(culprit, _)] => self.exonerate_others(culprit),
             _ => {
                 self.suspect_groups.push(starts.into_iter().map(|(task, _)| task).collect());
-                if self.suspect_groups.len() > MAX_SHARED_CRASHES {
+                if self.suspect_groups.len() > MAX_SUSPECT_GROUPS {
                     self.suspect_groups.remove(0);
                 }
             }
@@ -121,7 +122,8 @@
         }
     }
 
-    /// Lets a job's tasks start again once its crashes are recorded: a new owner will know them.
+    /// Lets a job's tasks start again once its crashes are recorded: a new owner will then read
+    /// them.
     pub(crate) fn on_progress_recorded(&mut self, id: &str) {
         let newer = self.dirty.contains(id);
         if let Some(entry) = self.jobs.get_mut(id).filter(|entry| entry.crash_unrecorded && !newer)
@@ -132,7 +134,8 @@
     }
 
     /// Clears suspicions after a worker's answer, received at `stamp` by its agent's clock: the
-    /// worker has not crashed, and runs listed for at least `APART` have outlived their starts.
+    /// worker has not crashed, and runs listed for at least [`START_ISOLATION_MS`] have outlived
+    /// their starts.
     pub(crate) fn clear_suspects(
         &mut self,
         name: &str,
@@ -141,7 +144,7 @@
         stamp: u64,
     ) {
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.crash = None;
+            agent.suspected_crash = None;
         }
         for run in running {
             let Some(entry) = self.jobs.get_mut(&run.task.job) else { continue };
@@ -154,14 +157,14 @@
             placed.first_listed_at = Some(first);
             placed.survived_start = stamp >= first + START_ISOLATION_MS;
             if placed.survived_start && entry.gang_survived_start(task_key(&run.task)) {
-                self.on_start_outlived(&run.task);
+                self.on_start_survived(&run.task);
             }
         }
     }
 
     /// Clears a task that outlived its start together with its gang. A task that crashes workers
     /// crashes each one it starts at.
-    pub(crate) fn on_start_outlived(&mut self, task: &Task) {
+    pub(crate) fn on_start_survived(&mut self, task: &Task) {
         let Some(entry) = self.jobs.get_mut(&task.job) else { return };
         entry.survived_start.insert(entry.slot(task_key(task)));
         self.clear_suspect(task, "it outlived its start");
@@ -180,36 +183,41 @@
     }
 
     /// Places a suspect where a crash loses the least work: on as few of the least used workers
-    /// as can hold it. Returns the places that it spares for other work.
+    /// as can hold it. Returns the indexes of workers that it keeps free for other work.
     pub(crate) fn place_suspect(
         &mut self,
         candidate: &Candidate,
         (step, pool): (&Step, &str),
-        (snapshot, barred): (&mut Snapshot, &[usize]),
+        (snapshot, excluded): (&mut Snapshot, &[usize]),
         time: (u64, u64),
     ) -> Vec<usize> {
         let mut order = snapshot.least_used();
-        order.retain(|place| !barred.contains(place));
-        let mut workers = 1;
+        order.retain(|index| !excluded.contains(index));
+        let mut worker_count = 1;
         loop {
-            let open: BTreeSet<usize> = order.iter().take(workers).copied().collect();
+            let open: BTreeSet<usize> = order.iter().take(worker_count).copied().collect();
             let closed: Vec<usize> =
-                (0..snapshot.spots.len()).filter(|place| !open.contains(place)).collect();
-            let spared = self.place_elsewhere(candidate, (step, pool), (snapshot, &closed), time);
-            if self.unplaced_tasks(candidate) == 0 || workers >= order.len() {
-                return spared;
+                (0..snapshot.workers.len()).filter(|index| !open.contains(index)).collect();
+            let kept_free =
+                self.place_excluding(candidate, (step, pool), (snapshot, &closed), time);
+            if self.unplaced_tasks(candidate) == 0 || worker_count >= order.len() {
+                return kept_free;
             }
-            workers *= 2;
+            worker_count *= 2;
         }
     }
 
-    /// The places where a candidate must not start now, so that a crash can be attributed to one
-    /// task: for a suspect all places with a recent start, for others those with a recent start
-    /// of a suspect.
-    pub(crate) fn excluded_places(&self, candidate: &Candidate, snapshot: &Snapshot) -> Vec<usize> {
-        let excluded = |fresh: RecentStart| candidate.suspect || fresh == RecentStart::Suspect;
-        let fresh = snapshot.recent_starts.iter().filter(|(_, fresh)| excluded(**fresh));
-        fresh.map(|(place, _)| *place).collect()
+    /// Returns the indexes of workers where a candidate must not start now, so that a crash can be
+    /// attributed to one task: for a suspect all workers with a recent start, for others those
+    /// with a recent start of a suspect.
+    pub(crate) fn excluded_indexes(
+        &self,
+        candidate: &Candidate,
+        snapshot: &Snapshot,
+    ) -> Vec<usize> {
+        let excluded = |start: RecentStart| candidate.suspect || start == RecentStart::Suspect;
+        let recent = snapshot.recent_starts.iter().filter(|(_, start)| excluded(**start));
+        recent.map(|(index, _)| *index).collect()
     }
 }
 
@@ -223,9 +231,9 @@
 }
 
 impl RecentStart {
-    /// Records a start at a place. A suspect takes precedence.
-    pub fn record(self, fresh: &mut BTreeMap<usize, RecentStart>, place: usize) {
-        let known = fresh.entry(place).or_insert(self);
+    /// Records a start at the worker with this index. A suspect takes precedence.
+    pub fn record(self, recent_starts: &mut BTreeMap<usize, RecentStart>, index: usize) {
+        let known = recent_starts.entry(index).or_insert(self);
         *known = self.max(*known);
     }
 
@@ -248,11 +256,11 @@
     }
 }
 
-/// The tasks of a step that may start now, in groups, with whether each group is suspected.
+/// Returns the tasks of a step that may start now, in groups, with whether each group is suspected.
 ///
 /// If a job has a suspect, that task starts first and alone: tasks of one job are alike, so
 /// starting several could cost a worker each. The others wait until the suspect has outlived its
-/// start or another task is found to be the cause. Tasks of other steps may find room where the
+/// start or another task is found to be the cause. Tasks of other steps may find capacity where the
 /// suspect does not, so they wait no longer than [`OTHER_STEPS_DELAY_MS`].
 pub(crate) fn isolate_suspects(
     id: &str,
@@ -286,8 +294,8 @@
     groups
 }
 
-/// Suspects that may be retried now, each as a group of its own: the first that is not exonerated,
-/// and all that are.
+/// Returns the suspects that may be retried now, each as a group of its own: the first that is not
+/// exonerated, and all that are.
 fn separately(suspects: Vec<u32>, unexplained: impl Fn(u32) -> bool) -> Vec<(Vec<u32>, bool)> {
     let first = suspects.iter().copied().find(|index| unexplained(*index));
     let retried =
@@ -295,7 +303,8 @@
     retried.map(|index| (vec![index], true)).collect()
 }
 
-/// True if tasks of the step must wait for a suspect of their job that has not been retried.
+/// Returns whether tasks of the step must wait for a suspect of their job that has not been
+/// retried.
 fn waits_for_suspect(entry: &Entry, step: (u32, u32), now: u64) -> bool {
     let is_running = |slot: &Key| entry.runs.keys().any(|key| entry.slot(*key) == *slot);
     let waiting = |slot: &Key| !entry.exonerated.contains(slot) && !is_running(slot);
@@ -304,6 +313,6 @@
     entry.progress.suspected_tasks().filter(waiting).any(blocks)
 }
 
-/// Longest time that other steps of an idle job wait until a suspect finds a place. Without a
+/// Longest time that other steps of an idle job wait until a suspect finds a worker. Without a
 /// bound a job could stall beside idle workers.
 const OTHER_STEPS_DELAY_MS: u64 = 1500;
--- a/crates/dispatch/src/tally.rs
+++ b/crates/dispatch/src/tally.rs
@@ -52,31 +52,33 @@
     /// of a step that is not a gang, so the pass ends once enough workers are counted for
     /// [`Sums::whole`].
     pub fn count(
-        spots: &'a [WorkerState],
+        workers: &'a [WorkerState],
         restrictions: &[Restriction],
-        ask: &Request<'_>,
+        request: &Request<'_>,
     ) -> Tally<'a> {
         let mut tally = Tally {
-            count: u64::from(ask.count),
-            gang: ask.step.gang,
-            same_rack: ask.step.gang && ask.step.same_rack && ask.count > 1,
+            count: u64::from(request.count),
+            gang: request.step.gang,
+            same_rack: request.step.gang && request.step.same_rack && request.count > 1,
             ..Tally::default()
         };
-        let need = ask.step.resources();
-        for (place, spot) in spots.iter().enumerate().filter(|(_, spot)| ask.is_eligible(spot)) {
-            // Saves divisions: most workers of a full pool have no room left, and the first few
+        let need = request.step.resources();
+        for (index, worker) in
+            workers.iter().enumerate().filter(|(_, worker)| request.is_eligible(worker))
+        {
+            // Saves divisions: most workers of a full pool have no capacity left, and the first few
             // would hold all tasks if they were empty.
-            let fits = need.fits(&spot.free);
-            let free = if fits { ask.max_tasks(place, &spot.free) } else { 0 };
-            let known = !tally.same_rack && tally.all.whole >= tally.count;
-            if known && restrictions.is_empty() && !tally.gang {
+            let fits = need.fits(&worker.free);
+            let free = if fits { request.max_tasks(index, &worker.free) } else { 0 };
+            let enough_counted = !tally.same_rack && tally.all.whole >= tally.count;
+            if enough_counted && restrictions.is_empty() && !tally.gang {
                 break;
             }
-            let whole = if known { 0 } else { ask.max_tasks(place, &spot.capacity) };
-            let restriction = restrictions.get(place).copied().unwrap_or(Restriction::None);
+            let whole = if enough_counted { 0 } else { request.max_tasks(index, &worker.capacity) };
+            let restriction = restrictions.get(index).copied().unwrap_or(Restriction::None);
             tally.all.add(restriction, free, whole);
             if tally.same_rack {
-                let rack = tally.racks.entry(&spot.rack).or_default();
+                let rack = tally.racks.entry(&worker.rack).or_default();
                 rack.add(restriction, free, whole);
             }
         }
@@ -100,8 +102,8 @@
         {
             return cause;
         }
-        let some_rack = self.same_rack && self.all.free.iter().sum::<u64>() >= self.count;
-        if some_rack { Cause::Rack } else { Cause::Room }
+        let fits_across_racks = self.same_rack && self.all.free.iter().sum::<u64>() >= self.count;
+        if fits_across_racks { Cause::Rack } else { Cause::Room }
     }
 
     /// Returns how many of the tasks fit now, and how many would fit if nothing ran.
@@ -113,11 +115,11 @@
     /// Returns whether the workers, and others that could hold `more` tasks, could hold the tasks
     /// if nothing ran.
     pub fn would_hold(&self, more: u64) -> bool {
-        self.all.whole + more >= self.wanted()
+        self.all.whole + more >= self.min_tasks()
     }
 
     /// Returns the least number of tasks that can start: all of a gang, otherwise one.
-    fn wanted(&self) -> u64 {
+    fn min_tasks(&self) -> u64 {
         if self.gang { self.count } else { 1 }
     }
 
@@ -127,6 +129,6 @@
         if self.same_rack && self.racks.values().any(|sums| sums.whole >= self.count) {
             return self.racks.values().any(|sums| free(sums) >= self.count);
         }
-        free(&self.all) >= self.wanted()
+        free(&self.all) >= self.min_tasks()
     }
 }
--- a/crates/dispatch/src/unconfirmed_jobs.rs
+++ b/crates/dispatch/src/unconfirmed_jobs.rs
@@ -4,7 +4,7 @@
 /// versions of their rows.
 ///
 /// Another entry may have claimed the ownership before such a job was stored and start it at
-/// once; an owner that does not know of that claim would start it, too. The table's change feed
+/// once; an owner that has not read that claim would start it, too. The table's change feed
 /// delivers the claim before the job. A job that bypassed the feed waits until the table performs a
 /// later write of this owner, which is conditional on no other entry having claimed.
 #[derive(Debug, Default)]
@@ -13,7 +13,7 @@
 }
 
 impl UnconfirmedJobs {
-    /// True if no job waits.
+    /// Returns whether no job waits.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
--- a/crates/dispatch/src/waits.rs
+++ b/crates/dispatch/src/waits.rs
@@ -4,7 +4,7 @@
 
 use crate::cause::Cause;
 
-/// Waits shorter than this are not logged while they last. Within this time most room is made
+/// Waits shorter than this are not logged while they last. Within this time most capacity is freed
 /// and most short work ends, as a stop takes up to 900 ms; beyond it, objectives of a few seconds
 /// are at risk.
 pub(crate) const MIN_LOGGED_WAIT_MS: u64 = 1000;
@@ -15,7 +15,7 @@
 /// thousands of jobs may wait.
 const MAX_LINES_PER_SECOND: usize = 10;
 /// Length of the interval to which [`MAX_LINES_PER_SECOND`] applies.
-const SECOND_MS: u64 = 1000;
+const RATE_LIMIT_PERIOD_MS: u64 = 1000;
 
 /// Identifies one occurrence of a step: job, occurrence, step.
 pub(crate) type StepKey = (Id, u32, u32);
@@ -107,7 +107,7 @@
         long.map(spend).collect()
     }
 
-    /// Returns the steps that wait for workers or for room on them, so that a change of the
+    /// Returns the steps that wait for workers or for capacity on them, so that a change of the
     /// workers alone may change the cause.
     pub fn waiting_for_workers(&self) -> Vec<(StepKey, Wait)> {
         let waits = self.steps.iter().filter(|(_, wait)| wait.cause.depends_on_workers());
@@ -136,7 +136,7 @@
     /// Returns the waits to log now, longest first, and the number of those that exceed the rate
     /// limit by cause. The latter is empty except in the first call of each second.
     pub fn take_due_lines(&mut self, now: u64) -> (Vec<(StepKey, Wait)>, BTreeMap<Cause, usize>) {
-        if now >= self.second_began_at + SECOND_MS {
+        if now >= self.second_began_at + RATE_LIMIT_PERIOD_MS {
             self.second_began_at = now;
             self.lines_in_second = 0;
         }
@@ -152,7 +152,7 @@
             ready.into_iter().map(|(step, wait)| (step.clone(), wait.mark_logged(now))).collect();
         let mut left = BTreeMap::new();
         rest.iter().for_each(|(_, wait)| *left.entry(wait.cause).or_default() += 1);
-        let again = (!left.is_empty()).then_some(self.second_began_at + SECOND_MS);
+        let again = (!left.is_empty()).then_some(self.second_began_at + RATE_LIMIT_PERIOD_MS);
         self.next_line_at = [later, again].into_iter().flatten().min();
         self.lines_in_second += Vec::len(&due);
         (due, if fresh { left } else { BTreeMap::new() })
--- a/crates/entry/src/site/ownership.rs
+++ b/crates/entry/src/site/ownership.rs
@@ -147,7 +147,7 @@
     for (id, view) in &mirror.jobs {
         if let Some((job, version)) = &view.job {
             owner.add_job(id, job.clone(), *version, view.progress.clone());
-            owner.restore_checkpoints(id, &view.saved);
+            owner.restore_checkpoints(id, &view.checkpoints);
             if view.cancelled {
                 owner.cancel(id, now);
             }
@@ -284,7 +284,7 @@
 /// so that a new owner does not restart the wave's duration.
 fn add_waves(shared: &Site, owner: &mut Owner) {
     for (number, wave) in shared.waves.borrow().iter() {
-        if !owner.knows_wave(*number) {
+        if !owner.has_wave(*number) {
             let record = shared.mirror.borrow().waves.get(number).copied();
             owner.add_wave(wave, record, quincewheel_clock::wall());
         }
