--- a/crates/peer/src/hub.rs
+++ b/crates/peer/src/hub.rs
@@ -13,80 +13,82 @@
 
 use crate::traffic::Traffic;
 
-/// What the hub is asked to do.
+/// A command to the hub.
 #[derive(Debug)]
 pub enum Command<S> {
     /// Connect to another process.
     Dial {
-        /// Its address.
+        /// The address of the process.
         address: String,
     },
     /// Send a frame.
     Send {
-        /// On which connection.
+        /// The connection to send on.
         link: LinkId,
-        /// The frame.
+        /// The frame to send.
         frame: S,
     },
-    /// Close a connection after what is queued was sent.
+    /// Close a connection after sending the queued frames.
     Close {
-        /// The connection.
+        /// The connection to close.
         link: LinkId,
-        /// Why, for the log.
+        /// The cause, for the log.
         reason: &'static str,
     },
 }
 
-/// What the hub tells.
+/// An event reported by the hub.
 #[derive(Debug)]
 pub enum Event<R> {
     /// A connection was authenticated.
     Linked {
-        /// Names it.
+        /// Id of the connection.
         link: LinkId,
-        /// Who is at the other end.
+        /// Identity of the peer.
         hello: Hello,
-        /// The address that was dialled; empty if the other end dialled.
+        /// The address that was dialled, or empty if the peer dialled.
         dialled: String,
     },
-    /// A connection is gone.
+    /// A connection was closed.
     Unlinked {
-        /// The connection.
+        /// The closed connection.
         link: LinkId,
     },
-    /// A dial did not succeed.
+    /// A dial failed.
     Undialled {
-        /// The address.
+        /// The address that was dialled.
         address: String,
-        /// Why.
+        /// The cause.
         error: String,
     },
-    /// A frame came.
+    /// A frame was received.
     Frame {
-        /// On which connection.
+        /// The connection that it arrived on.
         link: LinkId,
-        /// The frame.
+        /// The received frame.
         frame: R,
     },
 }
 
-/// A running hub, which sends frames of type `S`.
+/// A handle of a running hub, which sends frames of type `S`.
 pub struct Hub<S> {
     commands: ring::Sender<Command<S>>,
     address: SocketAddr,
     traffic: Arc<Traffic>,
 }
 
-/// Frames that may wait on one connection.
-const QUEUE: usize = 1024;
-/// Commands that may wait for the hub.
-const COMMANDS: usize = 8192;
-/// Connections that may be open at once.
-const LINKS: usize = 2048;
+/// Maximum number of frames queued on one connection.
+const MAX_QUEUED_FRAMES: usize = 1024;
+/// Maximum number of commands queued for the hub.
+const MAX_QUEUED_COMMANDS: usize = 8192;
+/// Maximum number of open connections.
+const MAX_LINKS: usize = 2048;
 
 impl<S: Serialize + Send + Sync + 'static> Hub<S> {
-    /// Listens on `address` and starts the thread. Events, with received
-    /// frames of type `R`, go to `events`.
+    /// Listens on `address` and starts the hub's thread.
+    ///
+    /// Events, with received frames of type `R`, are converted by `wrap` and sent
+    /// to `events`.
     pub fn bind<T: Send + Sync + 'static, R: DeserializeOwned + 'static>(
         address: &str,
         key: Key,
@@ -95,10 +97,10 @@
         wrap: fn(Event<R>) -> T,
     ) -> Result<Hub<S>, Error> {
         let listener = listen(address)?;
-        let address = listener.local_addr().map_err(|e| socket("bind", address, &e))?;
-        let (commands, incoming) = ring::open(COMMANDS);
+        let address = listener.local_addr().map_err(|e| io_error("bind", address, &e))?;
+        let (commands, incoming) = ring::open(MAX_QUEUED_COMMANDS);
         let traffic = Arc::new(Traffic::default());
-        let counted = Arc::clone(&traffic);
+        let thread_traffic = Arc::clone(&traffic);
         thread::Builder::new()
             .name("peers".to_owned())
             .spawn(move || {
@@ -108,28 +110,28 @@
                     me,
                     events,
                     wrap,
-                    traffic: counted,
+                    traffic: thread_traffic,
                     links: RefCell::default(),
-                    next: Cell::new(1),
+                    next_id: Cell::new(1),
                 };
                 runtime.block_on(run(Rc::new(state), listener, incoming));
             })
-            .map_err(|e| socket("start thread", "peers", &e))?;
+            .map_err(|e| io_error("start thread", "peers", &e))?;
         Ok(Hub { commands, address, traffic })
     }
 
-    /// Where the hub listens.
+    /// Returns the address on which the hub listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Counts of what went over all connections.
+    /// Returns the traffic counters of all connections.
     pub fn traffic(&self) -> Arc<Traffic> {
         Arc::clone(&self.traffic)
     }
 
-    /// Asks for something without waiting. False if too much is asked for at
-    /// once; the caller then treats the connection concerned as gone.
+    /// Queues a command without waiting. Returns false if the queue is full; the
+    /// caller then treats the connection concerned as closed.
     pub fn ask(&self, command: Command<S>) -> bool {
         self.commands.try_send(command).is_ok()
     }
@@ -142,17 +144,17 @@
     wrap: fn(Event<R>) -> T,
     traffic: Arc<Traffic>,
     links: RefCell<BTreeMap<LinkId, Outgoing<S>>>,
-    next: Cell<LinkId>,
+    next_id: Cell<LinkId>,
 }
 
 struct Outgoing<S> {
     frames: mpsc::Sender<S>,
-    /// Ends the connection at once, whatever is queued.
-    cut: Rc<Notify>,
+    /// Closes the connection at once, without sending the queued frames.
+    abort: Rc<Notify>,
 }
 
 impl<T: 'static, S, R> State<T, S, R> {
-    async fn tell(&self, event: Event<R>) {
+    async fn report(&self, event: Event<R>) {
         self.events.send((self.wrap)(event)).await;
     }
 }
@@ -162,24 +164,24 @@
     listener: TcpListener,
     commands: ring::Receiver<Command<S>>,
 ) {
-    let accepting = Rc::clone(&state);
+    let acceptor = Rc::clone(&state);
     actix_rt::spawn(async move {
         let listener = tokio::net::TcpListener::from_std(listener).expect("set non-blocking");
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                // Out of descriptors: a pause lets some be closed.
+                // Out of file descriptors. Wait for some connections to close.
                 tokio::time::sleep(std::time::Duration::from_millis(100)).await;
                 continue;
             };
-            if accepting.links.borrow().len() >= LINKS {
-                accepting.traffic.add_refused();
+            if acceptor.links.borrow().len() >= MAX_LINKS {
+                acceptor.traffic.add_refused();
                 continue;
             }
-            let state = Rc::clone(&accepting);
+            let state = Rc::clone(&acceptor);
             actix_rt::spawn(async move {
                 match quincewheel_wire::accept(stream, &state.key, &state.me).await {
                     Ok(link) => serve(state, link, String::new()).await,
-                    Err(error) => refuse(&state, "accept", &error),
+                    Err(error) => record_rejected(&state, "accept", &error),
                 }
             });
         }
@@ -200,18 +202,19 @@
     }
 }
 
-/// Queues a frame. Dropping the queue's sender ends the connection.
+/// Queues a frame on a connection. If the queue is full because the peer reads too
+/// slowly, closes the connection: dropping the queue's sender ends it.
 fn send<T, S, R>(state: &State<T, S, R>, link: LinkId, frame: S) {
     let mut links = state.links.borrow_mut();
     let Some(outgoing) = links.get(&link) else { return };
     if outgoing.frames.try_send(frame).is_err() {
-        log::warn!(step = "send", peer = link; "peer reads too slowly; connection closed");
-        outgoing.cut.notify_one();
+        log::warn!(step = "send", peer = link; "send queue full; connection closed");
+        outgoing.abort.notify_one();
         links.remove(&link);
     }
 }
 
-fn refuse<T, S, R>(state: &State<T, S, R>, step: &str, error: &Error) {
+fn record_rejected<T, S, R>(state: &State<T, S, R>, step: &str, error: &Error) {
     state.traffic.add_refused();
     log::warn!(step = step; "{error}");
 }
@@ -224,25 +227,25 @@
         Ok(link) => serve(state, link, address).await,
         Err(error) => {
             let error = error.to_string();
-            state.tell(Event::Undialled { address, error }).await;
+            state.report(Event::Undialled { address, error }).await;
         }
     }
 }
 
-/// Moves frames both ways until either direction ends.
+/// Moves frames in both directions until either direction ends.
 async fn serve<T: 'static, S: Serialize + 'static, R: DeserializeOwned + 'static>(
     state: Rc<State<T, S, R>>,
     link: Link,
     dialled: String,
 ) {
-    let id = state.next.get();
-    state.next.set(id + 1);
-    let (frames, mut queue) = mpsc::channel::<S>(QUEUE);
-    let cut = Rc::new(Notify::new());
-    state.links.borrow_mut().insert(id, Outgoing { frames, cut: Rc::clone(&cut) });
+    let id = state.next_id.get();
+    state.next_id.set(id + 1);
+    let (frames, mut queue) = mpsc::channel::<S>(MAX_QUEUED_FRAMES);
+    let abort = Rc::new(Notify::new());
+    state.links.borrow_mut().insert(id, Outgoing { frames, abort: Rc::clone(&abort) });
     let hello = link.hello().clone();
     let name = hello.name.clone();
-    state.tell(Event::Linked { link: id, hello, dialled }).await;
+    state.report(Event::Linked { link: id, hello, dialled }).await;
     let (mut sender, mut receiver) = link.split();
     let writing = async {
         while let Some(frame) = queue.recv().await {
@@ -258,30 +261,30 @@
             match receiver.next().await {
                 Ok((frame, bytes)) => {
                     state.traffic.add_received(bytes);
-                    state.tell(Event::Frame { link: id, frame }).await;
+                    state.report(Event::Frame { link: id, frame }).await;
                 }
                 Err(error @ Error::Closed { .. }) => {
                     return log::info!(step = "receive", peer = name.as_str(); "{error}");
                 }
-                Err(error) => return refuse(&state, "receive", &error),
+                Err(error) => return record_rejected(&state, "receive", &error),
             }
         }
     };
     tokio::select! {
         () = writing => {}
         () = reading => {}
-        () = cut.notified() => {}
+        () = abort.notified() => {}
     }
     state.links.borrow_mut().remove(&id);
-    state.tell(Event::Unlinked { link: id }).await;
+    state.report(Event::Unlinked { link: id }).await;
 }
 
 fn listen(address: &str) -> Result<TcpListener, Error> {
-    let listener = TcpListener::bind(address).map_err(|e| socket("bind", address, &e))?;
-    listener.set_nonblocking(true).map_err(|e| socket("bind", address, &e))?;
+    let listener = TcpListener::bind(address).map_err(|e| io_error("bind", address, &e))?;
+    listener.set_nonblocking(true).map_err(|e| io_error("bind", address, &e))?;
     Ok(listener)
 }
 
-fn socket(step: &'static str, peer: &str, error: &std::io::Error) -> Error {
+fn io_error(step: &'static str, peer: &str, error: &std::io::Error) -> Error {
     Error::Socket { step, peer: peer.to_owned(), detail: error.to_string() }
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,10 +1,10 @@
-//! The thread that keeps the connections to the system's other processes.
+//! The thread that manages the connections to other processes of the system.
 //!
-//! It accepts and dials, proves membership, and moves frames between sockets
-//! and rings. What comes in waits for room in the ring, so that a slow reader
-//! slows its peers; what goes out has a bounded queue per connection, and a
-//! connection whose queue is full is closed, so that one slow peer cannot make
-//! this process grow or wait.
+//! It accepts and dials connections, authenticates them, and moves frames between
+//! sockets and rings. Received frames wait for space in the ring, so that a slow
+//! consumer in this process applies back-pressure to its peers. Frames to send have
+//! a bounded queue per connection; a connection whose queue is full is closed, so
+//! that a slow peer cannot block this process or grow its memory.
 
 mod hub;
 mod traffic;
--- a/crates/peer/src/traffic.rs
+++ b/crates/peer/src/traffic.rs
@@ -1,6 +1,6 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts of what went over all connections.
+/// Traffic counters, summed over all connections.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent: AtomicU64,
@@ -10,22 +10,23 @@
 }
 
 impl Traffic {
-    /// Bytes of frames sent.
+    /// Returns the bytes of frames sent.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Bytes of frames received.
+    /// Returns the bytes of frames received.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// Frames in both directions.
+    /// Returns the number of frames in both directions.
     pub fn frames(&self) -> u64 {
         self.frames.load(Ordering::Relaxed)
     }
 
-    /// Connections that were refused or closed for what came over them.
+    /// Returns the number of connections that were rejected, or closed because of
+    /// an error in what was received.
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
