--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,31 +1,31 @@
 use std::fmt;
 
-/// Why a call to the platform did not succeed.
+/// Why a call to the platform failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-    /// An expected version did not hold; nothing was written.
+    /// A row did not have the expected version; nothing was written.
     Conflict {
-        /// The key whose version differs.
+        /// The key of that row.
         key: String,
     },
-    /// The service refused before doing anything.
+    /// The service refused the call without performing it.
     Refused {
-        /// What was being done.
+        /// The step that failed.
         step: &'static str,
         /// The service's address.
         peer: String,
-        /// What it said.
+        /// The service's error message.
         detail: String,
     },
-    /// The changes asked for are no longer kept; everything must be read anew.
+    /// The requested changes have been compacted; all rows must be read again.
     Compacted,
-    /// No answer, or none that says whether the call took effect.
+    /// No reply arrived, or none that shows whether the call took effect.
     Unclear {
-        /// What was being done.
+        /// The step that failed.
         step: &'static str,
         /// The service's address.
         peer: String,
-        /// What went wrong.
+        /// What failed.
         detail: String,
     },
 }
@@ -35,7 +35,9 @@
         match self {
             Error::Conflict { key } => write!(f, "commit: {key} has another version"),
             Error::Refused { step, peer, detail } => write!(f, "{step} at {peer}: {detail}"),
-            Error::Compacted => f.write_str("follow changes: the history is gone; read all rows"),
+            Error::Compacted => f.write_str(
+                "follow changes: the requested changes have been compacted; read all rows again",
+            ),
             Error::Unclear { step, peer, detail } => {
                 write!(f, "{step} at {peer}: outcome unclear: {detail}")
             }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! Client of the platform: its transactional table service and object store.
+//! Clients of the platform's transactional table service and object store.
 //!
-//! [`Op`] and [`Reply`] are what the rest of the product speaks; [`Table`] and
-//! [`Objects`] carry them over HTTP. A commit takes effect only if every
-//! expected version still holds, which is all that the product needs of
-//! transactions: the owner's row fences, the rest goes along.
+//! [`Op`] and [`Reply`] are the calls and replies of the table service; [`Table`]
+//! performs them over HTTP, and [`Objects`] accesses the object store. A commit
+//! takes effect only if every row has its expected version. Expecting the version
+//! of the owner's row is enough to fence off a previous owner's writes.
 
 mod error;
 mod objects;
--- a/crates/store/src/objects.rs
+++ b/crates/store/src/objects.rs
@@ -5,8 +5,8 @@
 
 use crate::error::Error;
 
-/// Largest object that is read back.
-const MAX_OBJECT: usize = 256 << 20;
+/// Maximum size of an object that is read, in bytes.
+const MAX_OBJECT_BYTES: usize = 256 << 20;
 
 /// A client of the object store.
 pub struct Objects {
@@ -15,17 +15,18 @@
 }
 
 impl Objects {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`. Calls fail as unclear after
+    /// `timeout`.
     pub fn open(address: &str, timeout: Duration) -> Objects {
         let client = Client::builder().timeout(timeout).finish();
         Objects { client, address: address.to_owned() }
     }
 
-    /// Writes an object. Writing the same object again does no harm.
+    /// Writes an object. Idempotent.
     pub async fn put(&self, name: &str, bytes: Bytes) -> Result<(), Error> {
         let request = self.client.put(self.url(name));
         let reply = request.send_body(bytes).await;
-        self.status("put object", reply.map(|reply| reply.status().as_u16()))
+        self.check_status("put object", reply.map(|reply| reply.status().as_u16()))
     }
 
     /// Reads an object.
@@ -35,8 +36,8 @@
             Ok(reply) => reply,
             Err(error) => return Err(self.unclear(step, error.to_string())),
         };
-        self.status(step, Ok(reply.status().as_u16()))?;
-        let body = reply.body().limit(MAX_OBJECT).await;
+        self.check_status(step, Ok(reply.status().as_u16()))?;
+        let body = reply.body().limit(MAX_OBJECT_BYTES).await;
         body.map_err(|error| self.unclear(step, error.to_string()))
     }
 
@@ -44,7 +45,7 @@
         format!("http://{}/objects/{name}", self.address)
     }
 
-    fn status(
+    fn check_status(
         &self,
         step: &'static str,
         status: Result<u16, awc::error::SendRequestError>,
--- a/crates/store/src/op.rs
+++ b/crates/store/src/op.rs
@@ -5,25 +5,25 @@
 pub enum Op {
     /// Read rows.
     Read(Read),
-    /// Write rows, if the expected versions hold.
+    /// Write rows if all rows concerned have their expected versions.
     Commit(Commit),
 }
 
-/// Rows whose key starts with `prefix`, in key order.
+/// A read of the rows whose key starts with `prefix`, in key order.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Read {
-    /// Start of the keys.
+    /// Prefix of the keys.
     pub prefix: String,
-    /// Only keys after this one.
+    /// Return only keys greater than this one.
     pub after: String,
-    /// Most rows in the reply.
+    /// Maximum number of rows in the reply.
     pub limit: usize,
 }
 
 /// A transaction.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Commit {
-    /// Versions that must hold; 0 for a row that must not exist.
+    /// Expected versions; the transaction fails if one of them differs.
     pub expect: Vec<Expect>,
     /// Rows to write.
     pub put: Vec<Put>,
@@ -31,69 +31,69 @@
     pub delete: Vec<String>,
 }
 
-/// A version that must hold.
+/// The version that a row must have for a transaction to take effect.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Expect {
-    /// The key.
+    /// The row's key.
     pub key: String,
-    /// Its version.
+    /// The expected version, or 0 if the row must not exist.
     pub version: u64,
 }
 
-/// A row to write.
+/// A row that a transaction writes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Put {
-    /// The key.
+    /// The row's key.
     pub key: String,
-    /// The value, as text.
+    /// The value to write, as text.
     pub value: String,
 }
 
 /// A stored row.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// The key.
+    /// The row's key.
     pub key: String,
-    /// Set by the service at each write; never repeats for a key.
+    /// Set by the service on each write and never reused for a key.
     pub version: u64,
-    /// The value.
+    /// The stored value.
     pub value: String,
 }
 
-/// Rows, and whether more follow.
+/// A page of rows.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Page {
-    /// The rows.
+    /// The rows, in key order.
     pub rows: Vec<Row>,
-    /// True if the limit cut the page off.
+    /// Whether more rows follow.
     pub more: bool,
 }
 
-/// What a call gave.
+/// The reply to an [`Op`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Reply {
-    /// Rows read.
+    /// The rows that were read.
     Page(Page),
-    /// The version that all written rows now have.
+    /// The version given to all written rows.
     Committed(u64),
 }
 
-/// A row that changed.
+/// A change of a row.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Change {
-    /// The key.
+    /// The row's key.
     pub key: String,
-    /// The version that the change brought.
+    /// The row's version after the change.
     pub version: u64,
-    /// The new value; none if the row was deleted.
+    /// The new value, or `None` if the row was deleted.
     pub value: Option<String>,
 }
 
-/// Changes in the order in which they were made.
+/// Changes in the order in which they were committed.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Changes {
-    /// The changed rows.
+    /// The changes.
     pub rows: Vec<Change>,
-    /// All changes up to this version are told.
+    /// All changes up to this version are included.
     pub version: u64,
 }
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -9,34 +9,36 @@
 use crate::op::{Op, Reply};
 use crate::table::Table;
 
-/// A running thread that calls the table service for another thread.
+/// A thread that calls the table service on behalf of another thread.
 pub struct Service {
     calls: ring::Sender<(u64, Op)>,
 }
 
-/// Calls that may wait. The owner has one commit and one read in flight.
-const CALLS: usize = 64;
+/// Maximum number of queued calls. The owner has at most one commit and one read in
+/// flight.
+const MAX_QUEUED_CALLS: usize = 64;
 
 impl Service {
-    /// Starts the thread. Answers go to `answers`, each with its call's name.
+    /// Starts the thread. Replies, each with its call's id, are converted by `wrap`
+    /// and sent to `replies`.
     pub fn spawn<T: Send + Sync + 'static>(
         address: &str,
         timeout: Duration,
-        answers: ring::Sender<T>,
+        replies: ring::Sender<T>,
         wrap: fn(u64, Result<Reply, Error>) -> T,
     ) -> io::Result<Service> {
-        let (calls, incoming) = ring::open::<(u64, Op)>(CALLS);
+        let (calls, incoming) = ring::open::<(u64, Op)>(MAX_QUEUED_CALLS);
         let address = address.to_owned();
         thread::Builder::new().name("store".to_owned()).spawn(move || {
             let runtime = actix_rt::Runtime::new().expect("a runtime needs only memory");
             runtime.block_on(async move {
                 let table = Rc::new(Table::open(&address, timeout));
-                let answers = Rc::new(answers);
+                let replies = Rc::new(replies);
                 while let Some((id, op)) = incoming.recv().await {
-                    let (table, answers) = (Rc::clone(&table), Rc::clone(&answers));
+                    let (table, replies) = (Rc::clone(&table), Rc::clone(&replies));
                     actix_rt::spawn(async move {
                         let result = table.call(&op).await;
-                        answers.send(wrap(id, result)).await;
+                        replies.send(wrap(id, result)).await;
                     });
                 }
             });
@@ -44,7 +46,7 @@
         Ok(Service { calls })
     }
 
-    /// Calls the table without waiting. False if too many calls wait.
+    /// Queues a call without waiting. Returns false if the queue is full.
     pub fn call(&self, id: u64, op: Op) -> bool {
         self.calls.try_send((id, op)).is_ok()
     }
--- a/crates/store/src/table.rs
+++ b/crates/store/src/table.rs
@@ -7,8 +7,8 @@
 use crate::error::Error;
 use crate::op::{Op, Page, Reply};
 
-/// Largest reply that is read.
-const MAX_REPLY: usize = 16 << 20;
+/// Maximum size of a reply, in bytes.
+const MAX_REPLY_BYTES: usize = 16 << 20;
 
 /// A client of the transactional table service.
 pub struct Table {
@@ -23,8 +23,8 @@
 }
 
 impl Table {
-    /// A client of the service at `address`. Calls without an answer end after
-    /// `timeout` as unclear.
+    /// Creates a client of the service at `address`. Calls without a reply fail as
+    /// unclear after `timeout`.
     pub fn open(address: &str, timeout: Duration) -> Table {
         let client = Client::builder().timeout(timeout).finish();
         Table { client, address: address.to_owned(), timeout }
@@ -56,7 +56,8 @@
             let body = serde_json::to_vec(body).expect("store calls are plain data");
             let request = self.client.post(url).content_type("application/json");
             let mut reply = request.send_body(body).await.map_err(|e| unclear(e.to_string()))?;
-            let bytes = reply.body().limit(MAX_REPLY).await.map_err(|e| unclear(e.to_string()))?;
+            let bytes =
+                reply.body().limit(MAX_REPLY_BYTES).await.map_err(|e| unclear(e.to_string()))?;
             let text = || String::from_utf8_lossy(&bytes).into_owned();
             match reply.status().as_u16() {
                 200 => serde_json::from_slice(&bytes).map_err(|e| unclear(e.to_string())),
@@ -69,7 +70,7 @@
         };
         match tokio::time::timeout(self.timeout, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(unclear(format!("no answer within {} ms", self.timeout.as_millis()))),
+            Err(_) => Err(unclear(format!("no reply within {} ms", self.timeout.as_millis()))),
         }
     }
 }
