--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -2,20 +2,20 @@
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
 
-/// A request's body, as far as it was read.
+/// The result of reading a request's body.
 #[derive(Debug, Eq, PartialEq)]
 pub enum Body {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// It is larger than the limit.
+    /// The body exceeds the limit.
     Oversized,
-    /// The connection ended within it.
+    /// The connection failed before the end of the body.
     Cut,
 }
 
-/// How much of an oversized body is read and thrown away, as a multiple of the
+/// Maximum part of an oversized body that is read and discarded, as a multiple of the
 /// limit. Reading it keeps the connection usable for the next request.
-const SKIP: usize = 16;
+const SKIP_FACTOR: usize = 16;
 
 /// Reads a body of at most `limit` bytes.
 pub async fn read(request: &mut Request, limit: usize) -> Body {
@@ -27,7 +27,7 @@
         if skipped > 0 || bytes.len() + chunk.len() > limit {
             skipped += chunk.len();
             bytes.clear();
-            if skipped > limit * SKIP {
+            if skipped > limit * SKIP_FACTOR {
                 break;
             }
             continue;
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! Serves HTTP from a thread of its own.
+//! An HTTP server that runs in its own thread.
 //!
-//! `actix-http` is used without a framework above it: the product has one
-//! table of routes, and what a framework adds would only hide it.
+//! It uses `actix-http` without a web framework, as the system has a single table
+//! of routes, which a framework would only obscure.
 
 mod body;
 mod server;
@@ -10,10 +10,10 @@
 pub use body::{Body, read};
 pub use server::Server;
 
-/// A response with a whole body.
+/// A response whose body is in memory.
 pub type Reply = Response<bytes::Bytes>;
 
-/// A response with this status, content type and body.
+/// Creates a response. An invalid status becomes 500.
 pub fn reply(status: u16, content_type: &str, body: impl Into<bytes::Bytes>) -> Reply {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut builder = Response::build(status);
@@ -21,21 +21,22 @@
     builder.message_body(body.into()).expect("status and headers are valid")
 }
 
-/// Tells the client when to come back.
+/// Sets the `Retry-After` header.
 pub fn retry_after(reply: &mut Reply, seconds: u64) {
     let value = actix_http::header::HeaderValue::from(seconds);
     reply.headers_mut().insert(actix_http::header::RETRY_AFTER, value);
 }
 
-/// Asks the client to open a new connection for its next call.
+/// Closes the connection after this response, so that the client's next call uses a
+/// new one.
 pub fn close(reply: &mut Reply) {
     reply.head_mut().set_connection_type(actix_http::ConnectionType::Close);
 }
 
-/// Where metrics are shown.
+/// Path of the metrics page.
 pub const METRICS: &str = "/metrics";
 
-/// A page of metrics in the OpenMetrics text format.
+/// Creates a response with metrics in the OpenMetrics text format.
 pub fn metrics(page: String) -> Reply {
     reply(200, "application/openmetrics-text; version=1.0.0; charset=utf-8", page)
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -10,18 +10,18 @@
 
 use crate::Reply;
 
-/// A running HTTP server.
+/// A handle of a running HTTP server.
 pub struct Server {
     address: SocketAddr,
     handle: ServerHandle,
 }
 
-/// Connections that may be open at once.
-const CONNECTIONS: usize = 4096;
-/// A connection without a request is closed after this time.
+/// Maximum number of open connections.
+const MAX_CONNECTIONS: usize = 4096;
+/// Time after which an idle connection is closed.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
-/// A client that does not finish its headers is cut off after this time.
-const HEADERS: Duration = Duration::from_secs(5);
+/// Time limit for a client to send all headers of a request.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Server {
     /// Listens on `address` and serves with `handler` from a new thread.
@@ -48,51 +48,53 @@
         }
         let first = listeners.first().ok_or(io::ErrorKind::InvalidInput)?;
         let address = first.local_addr()?;
-        let (tell, told) = std::sync::mpsc::channel();
-        let service = name.to_owned();
+        let (handle_sender, handle_receiver) = std::sync::mpsc::channel();
+        let service_name = name.to_owned();
         thread::Builder::new().name(name.to_owned()).spawn(move || {
             actix_rt::System::new().block_on(async move {
                 let factory = move || {
                     let handler = handler.clone();
                     HttpService::build()
                         .keep_alive(KEEP_ALIVE)
-                        .client_request_timeout(HEADERS)
+                        .client_request_timeout(HEADER_TIMEOUT)
                         .finish(move |request: Request| {
                             let reply = handler(request);
                             async move { Ok::<Reply, Infallible>(reply.await) }
                         })
                         .tcp_auto_h2c()
                 };
-                let mut built = Ok(Listeners::build()
+                let mut builder_result = Ok(Listeners::build()
                     .workers(1)
-                    .max_concurrent_connections(CONNECTIONS)
+                    .max_concurrent_connections(MAX_CONNECTIONS)
                     .disable_signals()
                     .shutdown_timeout(1));
                 for listener in listeners {
-                    built = built.and_then(|builder: ServerBuilder| {
-                        builder.listen(service.clone(), listener, factory.clone())
+                    builder_result = builder_result.and_then(|builder: ServerBuilder| {
+                        builder.listen(service_name.clone(), listener, factory.clone())
                     });
                 }
-                match built {
+                match builder_result {
                     Ok(builder) => {
                         let server = builder.run();
-                        let _ = tell.send(Ok(server.handle()));
+                        let _ = handle_sender.send(Ok(server.handle()));
                         let _ = server.await;
                     }
-                    Err(error) => drop(tell.send(Err(error))),
+                    Err(error) => drop(handle_sender.send(Err(error))),
                 }
             });
         })?;
-        let handle = told.recv().map_err(|_| io::Error::other("server thread ended"))??;
+        let handle =
+            handle_receiver.recv().map_err(|_| io::Error::other("server thread ended"))??;
         Ok(Server { address, handle })
     }
 
-    /// Where the server listens.
+    /// Returns the first address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops accepting, lets requests in flight end and ends the thread.
+    /// Stops accepting connections, waits up to 1 s for requests in flight and ends
+    /// the thread.
     pub async fn stop(&self) {
         self.handle.stop(true).await;
     }
