--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,11 +1,11 @@
-//! Logs as JSON lines, by `log4rs`.
+//! Logging as JSON lines, by `log4rs`.
 //!
-//! [`open_lines`] writes short lines to standard output: `t` (seconds since
-//! 1970), `process`, the fields that the place that logs knows (`event`, `job`,
-//! `epoch` and so on), and `msg`. [`open`] writes the library's own form to
-//! standard error; each of its lines has the library's own fields (`time`, `level`, `message`,
-//! `thread` and where in the code), and under `attributes` the `process` and
-//! whichever of `step`, `peer`, `job` and `attempt` the place that logs knows.
+//! [`open_lines`] writes compact lines to standard output: `t` (seconds since the
+//! Unix epoch), `process`, the record's own fields (`event`, `job`, `epoch` and so
+//! on), and `msg`. [`open`] writes the format of `log4rs` to standard error; each
+//! line has the library's fields (`time`, `level`, `message`, `thread` and the
+//! location in the code), and under `attributes` the `process` and those of `step`,
+//! `peer`, `job` and `attempt` that the record has.
 
 mod limit;
 mod lines;
@@ -15,13 +15,13 @@
 use log::kv::{Error as KvError, Key, Source, Value, VisitSource};
 use log::{LevelFilter, Log, Metadata, Record};
 use log4rs::append::console::{ConsoleAppender, Target};
-use log4rs::config::{Appender, Config, Logger as Logging, Root};
+use log4rs::config::{Appender, Config, Logger as LoggerConfig, Root};
 use log4rs::encode::json::JsonEncoder;
 
 pub use limit::Limit;
 pub use lines::Lines;
 
-/// Why logging could not be set up.
+/// An error while setting up logging.
 #[derive(Debug)]
 pub struct Error(String);
 
@@ -33,7 +33,8 @@
 
 impl std::error::Error for Error {}
 
-/// Starts logging for the process named `process`.
+/// Starts logging for the process named `process`, in the format of `log4rs`, to
+/// standard error.
 pub fn open(process: &str, level: LevelFilter) -> Result<(), Error> {
     let encoder = Box::new(JsonEncoder::new());
     let console = ConsoleAppender::builder().target(Target::Stderr).encoder(encoder).build();
@@ -46,15 +47,15 @@
     log::set_boxed_logger(Box::new(logger)).map_err(|error| Error(error.to_string()))
 }
 
-/// Starts logging of the system's own parts for the process named `process`, as
-/// short lines to standard output that nothing waits for. Libraries log
-/// warnings only.
+/// Starts logging for the process named `process`, as compact lines to standard
+/// output. Logging never blocks the process. `level` applies to the crates of this
+/// system; other libraries log warnings and errors only.
 pub fn open_lines(process: &str, level: LevelFilter) -> Result<(), Error> {
     let lines = Lines::spawn(process, std::io::stdout()).map_err(|e| Error(e.to_string()))?;
     let mut config =
         Config::builder().appender(Appender::builder().build("lines", Box::new(lines)));
-    for part in PARTS {
-        config = config.logger(Logging::builder().build(*part, level));
+    for target in OWN_TARGETS {
+        config = config.logger(LoggerConfig::builder().build(*target, level));
     }
     let config = config
         .build(Root::builder().appender("lines").build(LevelFilter::Warn))
@@ -62,12 +63,12 @@
     log4rs::init_config(config).map(|_| ()).map_err(|error| Error(error.to_string()))
 }
 
-/// The crates that log, as their records name them.
-const PARTS: &[&str] =
+/// Log targets of the crates of this system.
+const OWN_TARGETS: &[&str] =
     &["quincewheel_agent", "quincewheel_conf", "quincewheel_entry", "quincewheel_peer"];
 
-/// Adds the process's name to every line, so that lines of many processes can
-/// be read together.
+/// Adds the process's name to every line, so that the logs of several processes can
+/// be merged.
 struct Logger {
     process: String,
     inner: log4rs::Logger,
--- a/crates/log/src/limit.rs
+++ b/crates/log/src/limit.rs
@@ -1,31 +1,39 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bounds the lines about one kind of event, which somebody else may cause at any
-/// rate: a line a second, with the number of those before it that were left out.
+/// Rate limit for log lines about one kind of event that other processes may cause
+/// at any rate. Allows one line per second, which can state how many were suppressed
+/// before it.
 #[derive(Debug, Default)]
 pub struct Limit {
-    /// No line before this time, in milliseconds.
-    next: AtomicU64,
-    held: AtomicU64,
+    /// Time in milliseconds before which no line is allowed.
+    next_allowed: AtomicU64,
+    /// Events suppressed since the last line.
+    suppressed: AtomicU64,
 }
 
-/// Milliseconds between two lines.
-const PAUSE: u64 = 1000;
+/// Minimum time between two lines, in milliseconds.
+const LINE_INTERVAL_MS: u64 = 1000;
 
 impl Limit {
-    /// How many events have had no line since the last one, if this one may have
-    /// a line at `now`.
+    /// Returns the number of events suppressed since the last line if a line is
+    /// allowed at `now` (in milliseconds). Otherwise counts the event as suppressed
+    /// and returns `None`.
     pub fn pass(&self, now: u64) -> Option<u64> {
-        let next = self.next.load(Ordering::Relaxed);
-        let won = now >= next
+        let next = self.next_allowed.load(Ordering::Relaxed);
+        let allowed = now >= next
             && self
-                .next
-                .compare_exchange(next, now + PAUSE, Ordering::Relaxed, Ordering::Relaxed)
+                .next_allowed
+                .compare_exchange(
+                    next,
+                    now + LINE_INTERVAL_MS,
+                    Ordering::Relaxed,
+                    Ordering::Relaxed,
+                )
                 .is_ok();
-        if won {
-            return Some(self.held.swap(0, Ordering::Relaxed));
+        if allowed {
+            return Some(self.suppressed.swap(0, Ordering::Relaxed));
         }
-        self.held.fetch_add(1, Ordering::Relaxed);
+        self.suppressed.fetch_add(1, Ordering::Relaxed);
         None
     }
 }
--- a/crates/log/src/lines.rs
+++ b/crates/log/src/lines.rs
@@ -1,4 +1,4 @@
-//! Short JSON lines that are written without ever making the process wait.
+//! Compact JSON log lines, written without blocking the process.
 
 use std::fmt;
 use std::fmt::Write as _;
@@ -12,11 +12,13 @@
 use log::{Level, Record};
 use log4rs::append::Append;
 
-/// Lines that may wait for the writer: some seconds of a busy owner.
-const WAITING: usize = 2048;
+/// Maximum number of lines queued for the writer. A busy owner logs this many in a few
+/// seconds.
+const MAX_QUEUED_LINES: usize = 2048;
 
-/// Writes lines from a thread of its own. Where the reader of the output falls
-/// behind, lines are dropped and counted: a full pipe costs lines, not service.
+/// A log appender that writes lines from its own thread. If the reader of the output
+/// falls behind, lines are dropped and counted, so that a full pipe loses log lines
+/// but does not block the process.
 pub struct Lines {
     process: String,
     lines: SyncSender<String>,
@@ -24,30 +26,30 @@
 }
 
 impl Lines {
-    /// Starts the thread.
+    /// Starts the writer thread.
     pub fn spawn(process: &str, output: impl Write + Send + 'static) -> std::io::Result<Lines> {
-        let (lines, waiting) = sync_channel(WAITING);
-        thread::Builder::new().name("log".to_owned()).spawn(move || copy(&waiting, output))?;
+        let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
+        thread::Builder::new().name("log".to_owned()).spawn(move || write_lines(&queue, output))?;
         Ok(Lines { process: process.to_owned(), lines, dropped: AtomicU64::new(0) })
     }
 
-    /// Lines that were dropped since the last that was not.
+    /// Returns the number of lines dropped since the last line that was queued.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    fn line(&self, record: &Record<'_>) -> String {
+    fn format(&self, record: &Record<'_>) -> String {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut line = Line(format!("{{\"t\":{}.{:03}", now.as_secs(), now.subsec_millis()));
         if record.level() < Level::Info {
-            line.text("level", record.level().as_str());
+            line.push_text("level", record.level().as_str());
         }
-        line.text("process", &self.process);
-        // Visiting plain pairs does not fail.
+        line.push_text("process", &self.process);
+        // `Line::visit_pair` never returns an error.
         let _ = record.key_values().visit(&mut line);
         let message = record.args().to_string();
         if !message.is_empty() {
-            line.text("msg", &message);
+            line.push_text("msg", &message);
         }
         line.0.push('}');
         line.0
@@ -62,7 +64,7 @@
 
 impl Append for Lines {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
-        let mut line = self.line(record);
+        let mut line = self.format(record);
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             line.pop();
@@ -80,7 +82,7 @@
 struct Line(String);
 
 impl Line {
-    fn text(&mut self, name: &str, text: &str) {
+    fn push_text(&mut self, name: &str, text: &str) {
         let quoted = serde_json::to_string(text).unwrap_or_default();
         let _ = write!(self.0, ",\"{name}\":{quoted}");
     }
@@ -92,22 +94,22 @@
             Some(number) => {
                 let _ = write!(self.0, ",\"{key}\":{number}");
             }
-            None => self.text(key.as_str(), &value.to_string()),
+            None => self.push_text(key.as_str(), &value.to_string()),
         }
         Ok(())
     }
 }
 
-/// Writes what waits, and flushes whenever nothing does.
-fn copy(waiting: &Receiver<String>, mut output: impl Write) {
-    while let Ok(line) = waiting.recv() {
-        let mut all = line;
-        all.push('\n');
-        while let Ok(line) = waiting.try_recv() {
-            all.push_str(&line);
-            all.push('\n');
+/// Writes queued lines, and flushes when the queue is empty.
+fn write_lines(queue: &Receiver<String>, mut output: impl Write) {
+    while let Ok(line) = queue.recv() {
+        let mut batch = line;
+        batch.push('\n');
+        while let Ok(line) = queue.try_recv() {
+            batch.push_str(&line);
+            batch.push('\n');
         }
-        // There is nowhere to report that the output cannot be written to.
-        let _ = output.write_all(all.as_bytes()).and_then(|()| output.flush());
+        // A write error is ignored, as there is no other output to report it to.
+        let _ = output.write_all(batch.as_bytes()).and_then(|()| output.flush());
     }
 }
--- a/crates/log/tests/lines.rs
+++ b/crates/log/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Lines are short, and a reader that falls behind costs lines, not service.
+//! The format of log lines, and a slow reader of the output.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -10,16 +10,16 @@
 use log4rs::append::Append;
 use quincewheel_log::Lines;
 
-/// An output that says when something is to be written, and takes nothing until
-/// it is told to.
-struct Pipe {
+/// An output that signals the first write on `entered` and blocks it until it
+/// receives on `open`.
+struct BlockedPipe {
     entered: Sender<()>,
     open: Receiver<()>,
     opened: bool,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Pipe {
+impl Write for BlockedPipe {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if !self.opened {
             let _ = self.entered.send(());
@@ -34,22 +34,22 @@
     }
 }
 
-struct Bed {
+struct Harness {
     lines: Lines,
     entered: Receiver<()>,
     opener: Sender<()>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-fn bed() -> Bed {
+fn harness() -> Harness {
     let (opener, open) = channel();
     let (enter, entered) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
-    let pipe = Pipe { entered: enter, open, opened: false, written: Arc::clone(&written) };
-    Bed { lines: Lines::spawn("entry-1", pipe).unwrap(), entered, opener, written }
+    let pipe = BlockedPipe { entered: enter, open, opened: false, written: Arc::clone(&written) };
+    Harness { lines: Lines::spawn("entry-1", pipe).unwrap(), entered, opener, written }
 }
 
-fn log(lines: &Lines, number: usize) {
+fn log_line(lines: &Lines, number: usize) {
     let pairs: &[(&str, u64)] = &[("number", number as u64)];
     let record = Record::builder()
         .level(Level::Info)
@@ -59,7 +59,7 @@
     lines.append(&record).unwrap();
 }
 
-fn wait_for(written: &Mutex<Vec<u8>>, count: usize) -> Vec<String> {
+fn wait_for_lines(written: &Mutex<Vec<u8>>, count: usize) -> Vec<String> {
     loop {
         let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
         let lines: Vec<String> = text.lines().map(str::to_owned).collect();
@@ -71,30 +71,30 @@
 }
 
 #[test]
-fn a_line_holds_what_the_place_knows_and_no_more() {
-    let Bed { lines, opener, written, .. } = bed();
+fn a_line_has_only_the_fields_of_its_record() {
+    let Harness { lines, opener, written, .. } = harness();
     opener.send(()).unwrap();
-    log(&lines, 7);
-    let line = wait_for(&written, 1).remove(0);
+    log_line(&lines, 7);
+    let line = wait_for_lines(&written, 1).remove(0);
     let rest = line.split_once(',').unwrap().1;
     assert_snapshot!(rest, @r#""process":"entry-1","number":7,"msg":"a \"quoted\" word"}"#);
 }
 
-// Symptom: calls hang while nobody reads the logs. Sequence: the pipe fills, the
-// next line waits for room. Cause: lines were written where they arose.
+// Guards against calls that hang while the log output is not read: the pipe fills up,
+// and a line written directly by the logging thread would block on it.
 #[test]
-fn a_full_pipe_drops_lines_and_says_how_many() {
-    let Bed { lines, entered, opener, written } = bed();
-    log(&lines, 0);
+fn a_full_pipe_drops_lines_and_logs_how_many() {
+    let Harness { lines, entered, opener, written } = harness();
+    log_line(&lines, 0);
     entered.recv().unwrap();
-    // The writer now holds the first line and waits; the queue takes 2,048.
+    // The writer is now blocked on the first line; the queue holds 2,048 more.
     for number in 1..=5000 {
-        log(&lines, number);
+        log_line(&lines, number);
     }
     assert_eq!(lines.dropped(), 5000 - 2048);
     opener.send(()).unwrap();
-    wait_for(&written, 1 + 2048);
-    log(&lines, 5001);
-    let last = wait_for(&written, 1 + 2048 + 1).pop().unwrap();
+    wait_for_lines(&written, 1 + 2048);
+    log_line(&lines, 5001);
+    let last = wait_for_lines(&written, 1 + 2048 + 1).pop().unwrap();
     assert!(last.ends_with(",\"dropped\":2952}"), "{last}");
 }
