--- a/crates/ring/src/lib.rs
+++ b/crates/ring/src/lib.rs
@@ -1,18 +1,18 @@
-//! Bounded rings that join the threads of one process.
+//! Bounded ring-buffer channels between the threads of a process.
 //!
-//! A ring holds a fixed number of items and never grows. A sender that must
-//! not wait uses [`Sender::try_send`] and tells its own caller that the ring is
-//! full; one that may wait uses [`Sender::send`].
+//! A ring holds a fixed number of items and never grows. A producer that must not
+//! block uses [`Sender::try_send`] and reports a full ring to its own caller; one
+//! that may wait uses [`Sender::send`].
 
 use thingbuf::Recycle;
 use thingbuf::mpsc;
 use thingbuf::mpsc::errors::TrySendError;
 
-/// Leaves slots empty between items.
+/// Resets used slots to `None`, so that consumed items are dropped at once.
 #[derive(Clone, Copy, Debug)]
-struct Empty;
+struct ClearSlots;
 
-impl<T> Recycle<Option<T>> for Empty {
+impl<T> Recycle<Option<T>> for ClearSlots {
     fn new_element(&self) -> Option<T> {
         None
     }
@@ -22,39 +22,40 @@
     }
 }
 
-/// The sending end. Cloning it adds a producer.
-pub struct Sender<T>(mpsc::Sender<Option<T>, Empty>);
+/// The sending half of a ring. Each clone is another producer.
+pub struct Sender<T>(mpsc::Sender<Option<T>, ClearSlots>);
 
-/// The receiving end.
-pub struct Receiver<T>(mpsc::Receiver<Option<T>, Empty>);
+/// The receiving half of a ring.
+pub struct Receiver<T>(mpsc::Receiver<Option<T>, ClearSlots>);
 
-/// Why an item was not taken.
+/// Why an item was not queued. Each variant returns the item.
 #[derive(Debug)]
 pub enum Error<T> {
     /// The ring is full.
     Full(T),
-    /// The receiver is gone.
+    /// The receiver was dropped.
     Closed(T),
 }
 
-/// A ring with room for `capacity` items.
+/// Creates a ring that holds up to `capacity` items.
 pub fn open<T: Send>(capacity: usize) -> (Sender<T>, Receiver<T>) {
-    let (sender, receiver) = mpsc::with_recycle(capacity, Empty);
+    let (sender, receiver) = mpsc::with_recycle(capacity, ClearSlots);
     (Sender(sender), Receiver(receiver))
 }
 
 impl<T> Sender<T> {
-    /// Puts an item in if there is room.
+    /// Queues an item, or fails at once if the ring is full or closed.
     pub fn try_send(&self, item: T) -> Result<(), Error<T>> {
         match self.0.try_send(Some(item)) {
             Ok(()) => Ok(()),
             Err(TrySendError::Full(Some(item))) => Err(Error::Full(item)),
             Err(TrySendError::Closed(Some(item))) => Err(Error::Closed(item)),
-            Err(_) => unreachable!("what was sent comes back"),
+            Err(_) => unreachable!("a failed send returns its item"),
         }
     }
 
-    /// Waits for room and puts an item in. False if the receiver is gone.
+    /// Queues an item, waiting while the ring is full. Returns false if the receiver
+    /// was dropped.
     pub async fn send(&self, item: T) -> bool {
         self.0.send(Some(item)).await.is_ok()
     }
@@ -67,12 +68,13 @@
 }
 
 impl<T> Receiver<T> {
-    /// Waits for the next item. `None` once all senders are gone.
+    /// Waits for the next item. Returns `None` once all senders are dropped and the
+    /// ring is empty.
     pub async fn recv(&self) -> Option<T> {
         self.0.recv().await.flatten()
     }
 
-    /// Takes the next item if there is one.
+    /// Returns the next item if one is queued.
     pub fn try_recv(&self) -> Option<T> {
         self.0.try_recv().ok().flatten()
     }
