--- a/crates/conf/src/common.rs
+++ b/crates/conf/src/common.rs
@@ -1,22 +1,22 @@
-//! Settings that both binaries have.
+//! Settings shared by both binaries.
 
 use crate::definition::Definition;
 
-/// Where other processes of the system connect.
+/// Address on which other processes of the system connect.
 pub const LISTEN: Definition = Definition::required(
     "listen",
     "IP:PORT",
     "Address on which the system's other processes reach this one",
 );
 
-/// Where the platform's services are.
+/// Address of the platform's services.
 pub const PLATFORM: Definition = Definition::required(
     "platform",
     "IP:PORT",
     "Address of the platform's table service and object store",
 );
 
-/// What proves membership.
+/// Key by which processes of the system authenticate each other.
 pub const FLEET_KEY: Definition = Definition::required(
     "fleet-key",
     "SECRET",
@@ -25,11 +25,11 @@
 )
 .secret();
 
-/// How much is logged.
+/// Minimum level of log lines.
 pub const LOG_LEVEL: Definition =
     Definition::optional("log-level", "LEVEL", "info", "One of error, warn, info, debug, trace");
 
-/// Whether events for the checker are written.
+/// Whether events for the invariant checker are written.
 pub const EVENTS: Definition = Definition::optional(
     "events",
     "",
@@ -37,7 +37,7 @@
     "Write events for the invariant checker to standard output, one JSON object a line",
 );
 
-/// Where metrics are shown on the platform.
+/// Port of the metrics page on the users' platform.
 pub const METRICS_PORT: Definition = Definition::optional(
     "metrics-port",
     "PORT",
--- a/crates/conf/src/definition.rs
+++ b/crates/conf/src/definition.rs
@@ -1,20 +1,20 @@
-/// One setting, with all that is ever said about it.
+/// The definition of a setting: its flag, environment variable, default and help text.
 #[derive(Clone, Copy, Debug)]
 pub struct Definition {
     /// Name of the flag, without dashes.
     pub name: &'static str,
-    /// What stands for the value in help texts; empty for a switch.
+    /// Placeholder of the value in help texts; empty for a switch.
     pub hint: &'static str,
-    /// The value where none is given; `None` where one must be.
+    /// The default value, or `None` if a value is required.
     pub default: Option<&'static str>,
-    /// What it does, with its unit.
+    /// Help text, which includes the unit.
     pub help: &'static str,
-    /// Never shown.
+    /// Whether the value is masked in output.
     pub secret: bool,
 }
 
 impl Definition {
-    /// A setting that must be given.
+    /// Defines a setting that must be given.
     pub const fn required(
         name: &'static str,
         hint: &'static str,
@@ -23,7 +23,7 @@
         Definition { name, hint, default: None, help, secret: false }
     }
 
-    /// A setting with a default.
+    /// Defines a setting with a default.
     pub const fn optional(
         name: &'static str,
         hint: &'static str,
@@ -33,18 +33,19 @@
         Definition { name, hint, default: Some(default), help, secret: false }
     }
 
-    /// The same setting, never shown.
+    /// Returns the definition with its value masked in output.
     pub const fn secret(mut self) -> Definition {
         self.secret = true;
         self
     }
 
-    /// The environment variable that gives the value where no flag does.
+    /// Returns the name of the environment variable that is read if the flag is not
+    /// given.
     pub fn variable(&self) -> String {
         format!("QUINCEWHEEL_{}", self.name.replace('-', "_").to_uppercase())
     }
 
-    /// True if the flag takes no value.
+    /// Returns true if the flag takes no value.
     pub fn switch(&self) -> bool {
         self.hint.is_empty()
     }
--- a/crates/conf/src/end.rs
+++ b/crates/conf/src/end.rs
@@ -2,10 +2,10 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Waits until the process is told to end, by SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT, on which the process is to shut down.
 ///
-/// SIGHUP announces changed settings. It must not end the process, which is
-/// what it does by default; `reload` is called instead.
+/// SIGHUP calls `reload`, as it announces changed settings. Without a handler, it
+/// would terminate the process.
 pub async fn ending(reload: impl Fn()) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
--- a/crates/conf/src/error.rs
+++ b/crates/conf/src/error.rs
@@ -1,22 +1,22 @@
 use std::fmt;
 
-/// A setting that cannot be used, or a flag that does not exist.
+/// An invalid setting or command line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-    /// The command line has a flag or an argument that is not known.
+    /// The command line has an unknown flag or subcommand, or cannot be parsed.
     Usage(String),
-    /// A setting without a default was not given.
+    /// A required setting was not given.
     Missing {
         /// The flag's name.
         name: &'static str,
         /// The environment variable's name.
         variable: String,
     },
-    /// A setting has a value that it cannot have.
+    /// The value of a setting is invalid.
     Invalid {
         /// The flag's name.
         name: &'static str,
-        /// What is wrong with it and what to give instead.
+        /// What is wrong with the value and what is expected.
         detail: String,
     },
 }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,9 +1,9 @@
-//! Settings: one definition per flag, parsed low and resolved once.
+//! Settings from command-line flags and environment variables.
 //!
-//! A [`Definition`] names a flag, its environment variable, its default and its
-//! help; `--help`, the settings page and the parser all come from it. [`parse`]
-//! gives the raw [`Values`]; [`Resolver`] turns them into checked types and
-//! gathers every mistake, so that all of them are reported at once.
+//! A [`Definition`] describes a flag, its environment variable, its default and its
+//! help text; `--help`, the settings page and the parser are generated from it.
+//! [`parse`] returns the raw [`Values`]; [`Resolver`] validates them, converts them
+//! to their types and collects all errors, so that they are reported together.
 
 mod common;
 mod definition;
--- a/crates/conf/src/own.rs
+++ b/crates/conf/src/own.rs
@@ -5,20 +5,20 @@
 use crate::resolver::Resolver;
 use crate::values::Values;
 
-/// What a process on the users' platform takes from its own settings; all else
-/// comes from the platform's file.
+/// The settings that a process on the users' platform reads from its own flags and
+/// variables. All other settings come from the platform's file.
 #[derive(Clone, Debug)]
 pub struct Own {
-    /// Proves membership.
+    /// Key by which processes of the system authenticate each other.
     pub fleet_key: String,
-    /// How much is logged.
+    /// Minimum level of log lines.
     pub log_level: LevelFilter,
-    /// Where metrics are shown.
+    /// Port of the metrics page.
     pub metrics_port: u16,
 }
 
 impl Own {
-    /// Checks the values and reports every mistake.
+    /// Validates the values. Returns all errors found.
     pub fn resolve(values: &Values) -> Result<Own, Vec<Error>> {
         let mut r = Resolver::new(values);
         let own = Own {
--- a/crates/conf/src/parse.rs
+++ b/crates/conf/src/parse.rs
@@ -11,31 +11,31 @@
 pub struct Program {
     /// The binary's name.
     pub name: &'static str,
-    /// What it is, in a sentence.
+    /// Description of the program in one sentence.
     pub about: &'static str,
-    /// Subcommands with their help; the first is the default.
+    /// Subcommands with their help texts; the first is the default.
     pub commands: &'static [(&'static str, &'static str)],
-    /// All its settings.
+    /// Definitions of all settings.
     pub definitions: &'static [Definition],
 }
 
-/// What the command line asks for.
+/// The action that a command line requests.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Print this text and end well.
+    /// Print this text and exit successfully.
     Print(String),
-    /// Run the named subcommand.
+    /// Run the named subcommand with these settings.
     Run(&'static str, Values),
 }
 
-/// Parses arguments, without the program's name, and takes from `variable`
-/// what they do not give.
+/// Parses `args`, which exclude the program's name. Settings that they do not give
+/// are read with `variable`, then from their defaults.
 pub fn parse(
     program: &Program,
     args: &[String],
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<Command, Vec<Error>> {
-    let options = options(program);
+    let options = getopts_options(program);
     let matches = match options.parse(args) {
         Ok(matches) => matches,
         Err(error) => return Err(vec![Error::Usage(error.to_string())]),
@@ -70,12 +70,12 @@
     Ok(Command::Run(command, values))
 }
 
-fn options(program: &Program) -> Options {
+fn getopts_options(program: &Program) -> Options {
     let mut options = Options::new();
     options.optflag("h", "help", "Show this text");
     options.optflag("V", "version", "Show the version");
     for definition in program.definitions {
-        let help = describe(definition);
+        let help = help_text(definition);
         if definition.switch() {
             options.optflag("", definition.name, &help);
         } else {
@@ -85,7 +85,7 @@
     options
 }
 
-fn describe(definition: &Definition) -> String {
+fn help_text(definition: &Definition) -> String {
     let default = match definition.default {
         Some(default) if !definition.switch() => format!(" [default: {default}]"),
         Some(_) => String::new(),
@@ -95,20 +95,20 @@
 }
 
 fn help(program: &Program, options: &Options) -> String {
-    let mut brief =
+    let mut usage =
         format!("{}\n\nUsage: {} [COMMAND] [SETTINGS]\n\nCommands:\n", program.about, {
             program.name
         });
-    for (at, (name, about)) in program.commands.iter().enumerate() {
-        let default = if at == 0 { " (default)" } else { "" };
-        brief.push_str(&format!("    {name:<8}{about}{default}\n"));
+    for (index, (name, about)) in program.commands.iter().enumerate() {
+        let default = if index == 0 { " (default)" } else { "" };
+        usage.push_str(&format!("    {name:<8}{about}{default}\n"));
     }
-    options.usage(brief.trim_end())
+    options.usage(usage.trim_end())
 }
 
 impl Program {
-    /// Parses arguments and variables, prints what is asked to be printed, and
-    /// reports mistakes. Gives what is left to run, or the code to end with.
+    /// Parses arguments and environment variables. Prints help, the version or errors.
+    /// Returns the subcommand to run, or the exit code if there is nothing to run.
     pub fn launch(&self, args: &[String]) -> Result<(&'static str, Values), ExitCode> {
         match parse(self, args, |name| std::env::var(name).ok()) {
             Ok(Command::Print(text)) => {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Reports bad settings, all of them. Gives the code to end with.
+    /// Prints all `errors` of the settings to standard error. Returns the exit code.
     pub fn refuse(&self, errors: &[Error]) -> ExitCode {
         for error in errors {
             eprintln!("{}: {error}", self.name);
@@ -128,7 +128,7 @@
         ExitCode::from(2)
     }
 
-    /// Reports why the program could not go on. Gives the code to end with.
+    /// Prints the error of `result`, if any, to standard error. Returns the exit code.
     pub fn end(&self, result: std::io::Result<()>) -> ExitCode {
         match result {
             Ok(()) => ExitCode::SUCCESS,
--- a/crates/conf/src/values.rs
+++ b/crates/conf/src/values.rs
@@ -2,17 +2,17 @@
 
 use crate::definition::Definition;
 
-/// Raw values by the flag's name, none of them checked.
+/// Raw, unvalidated values by name of the flag.
 #[derive(Clone, Debug, Default)]
 pub struct Values(pub(crate) BTreeMap<&'static str, String>);
 
 impl Values {
-    /// The raw value.
+    /// Returns the raw value of a flag.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.get(name).map(String::as_str)
     }
 
-    /// Lines of `name = value`, with secrets masked.
+    /// Formats the values as lines of `name = value`, with secrets masked.
     pub fn show(&self, definitions: &[Definition]) -> String {
         let mut lines = String::new();
         for definition in definitions {
--- a/crates/conf/tests/settings.rs
+++ b/crates/conf/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: where values come from and how mistakes are told.
+//! Settings: the precedence of their sources, and how errors are reported.
 
 use quincewheel_conf::{Command, Definition, Program, Resolver, parse};
 
@@ -15,7 +15,7 @@
     definitions: &[NAME, PORT, KEY, COUNT, LOUD],
 };
 
-fn run(args: &[&str], variables: &[(&str, &str)]) -> String {
+fn resolve(args: &[&str], variables: &[(&str, &str)]) -> String {
     let args: Vec<String> = args.iter().map(|arg| (*arg).to_owned()).collect();
     let variable = |name: &str| {
         variables.iter().find(|(key, _)| *key == name).map(|(_, value)| (*value).to_owned())
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn flags_go_before_variables_and_secrets_are_masked() {
+fn flags_override_variables_and_secrets_are_masked() {
     let args = ["--name", "a", "--rpc=127.0.0.1:1", "--loud"];
     let variables = [
         ("QUINCEWHEEL_NAME", "b"),
         ("QUINCEWHEEL_COUNT", "4"),
         ("QUINCEWHEEL_FLEET_KEY", "0123456789abcdef"),
     ];
-    insta::assert_snapshot!(run(&args, &variables), @r"
+    insta::assert_snapshot!(resolve(&args, &variables), @r"
     name = a
     rpc = 127.0.0.1:1
     fleet-key = (masked)
@@ -51,13 +51,13 @@
     ");
 }
 
-/// Symptom: an operator mends one setting after another. Sequence: several are
-/// wrong at once. Cause: the first error ends the check. The secret's value
-/// must not show.
+/// Guards against errors being reported one at a time: if several settings are wrong
+/// and validation stops at the first, an operator needs a restart for each. The
+/// secret's value must not appear in the errors.
 #[test]
-fn every_mistake_is_told_at_once() {
+fn all_errors_are_reported_together() {
     let args = ["--rpc", "localhost:80", "--count", "9", "--fleet-key", "short"];
-    insta::assert_snapshot!(run(&args, &[("QUINCEWHEEL_LOUD", "maybe")]), @r#"
+    insta::assert_snapshot!(resolve(&args, &[("QUINCEWHEEL_LOUD", "maybe")]), @r#"
     --name is not set; give the flag or the variable QUINCEWHEEL_NAME
     --rpc: "localhost:80" is not an IP address with a port, as in 10.0.0.7:7001
     --fleet-key: is shorter than 16 characters
@@ -67,8 +67,12 @@
 }
 
 #[test]
-fn unknown_flags_and_commands_are_refused() {
-    let texts = [run(&["--nmae", "a"], &[]), run(&["srve"], &[]), run(&["serve", "check"], &[])];
+fn unknown_flags_and_commands_are_rejected() {
+    let texts = [
+        resolve(&["--nmae", "a"], &[]),
+        resolve(&["srve"], &[]),
+        resolve(&["serve", "check"], &[]),
+    ];
     insta::assert_snapshot!(texts.concat(), @r#"
     Unrecognized option: 'nmae'; see --help
     there is no subcommand "srve"; see --help
@@ -77,8 +81,8 @@
 }
 
 #[test]
-fn help_names_every_setting_with_its_variable_and_default() {
-    insta::assert_snapshot!(run(&["--help"], &[]), @r"
+fn help_lists_every_setting_with_its_variable_and_default() {
+    insta::assert_snapshot!(resolve(&["--help"], &[]), @r"
     An example.
 
     Usage: example [COMMAND] [SETTINGS]
