--- a/crates/audit/src/checker.rs
+++ b/crates/audit/src/checker.rs
@@ -4,12 +4,12 @@
 
 use crate::event::{Event, Kind};
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Violation {
-    /// When it showed.
+    /// Time at which the violation was detected.
     pub at: Duration,
-    /// What broke.
+    /// Description of the violation.
     pub what: String,
 }
 
@@ -19,17 +19,22 @@
     }
 }
 
-/// Reads the events of a run.
+/// Checks the invariants over the events of a run.
 #[derive(Debug)]
 pub struct Checker {
-    bound: Duration,
+    /// Maximum time for which a gang may be partial.
+    partial_bound: Duration,
     now: Duration,
-    /// Worker to attempt to mask.
+    /// Masks of held accelerators, by worker and attempt.
     grants: BTreeMap<String, BTreeMap<u64, u64>>,
     gangs: BTreeMap<u64, Gang>,
+    /// By team and request id.
     requests: BTreeMap<(String, String), Request>,
+    /// Configuration version in force, by process.
     versions: BTreeMap<String, u64>,
+    /// Highest configuration version recorded.
     recorded: u64,
+    /// Owner of each epoch.
     epochs: BTreeMap<u64, String>,
     violations: Vec<Violation>,
 }
@@ -41,26 +46,28 @@
     running: BTreeSet<String>,
     done: BTreeSet<String>,
     broken: BTreeSet<String>,
-    /// Since when some but not all run.
-    partial: Option<Duration>,
+    /// Time since which some but not all members run.
+    partial_since: Option<Duration>,
 }
 
 #[derive(Debug, Default)]
 struct Request {
     idempotent: bool,
-    /// Attempts of which a part started.
+    /// Attempts of which at least one member started.
     started: BTreeSet<u64>,
-    open: BTreeSet<u64>,
-    /// The last submission was refused as not run and none came after it.
+    /// Submissions without a reply.
+    unanswered: BTreeSet<u64>,
+    /// Whether the last submission was refused as not run, with none since.
     refused: bool,
     outcomes: Vec<String>,
 }
 
 impl Checker {
-    /// A checker that allows gangs to be partial for `bound` at start and end.
+    /// Creates a checker that allows a gang to be partial for `bound` at its start and
+    /// its end.
     pub fn new(bound: Duration) -> Checker {
         Checker {
-            bound,
+            partial_bound: bound,
             now: Duration::ZERO,
             grants: BTreeMap::new(),
             gangs: BTreeMap::new(),
@@ -72,7 +79,7 @@
         }
     }
 
-    /// Checks a whole run that ended at `end`.
+    /// Checks the events of a whole run that ended at `end`, in any order.
     pub fn run(bound: Duration, events: &[Event], end: Duration) -> Vec<Violation> {
         let mut events: Vec<&Event> = events.iter().collect();
         events.sort_by_key(|event| event.at);
@@ -83,7 +90,7 @@
         checker.finish(end)
     }
 
-    /// Reads the next event.
+    /// Processes the next event, in order of time.
     pub fn read(&mut self, event: &Event) {
         self.now = event.at;
         self.check_gangs();
@@ -101,7 +108,7 @@
             Kind::Stopped { worker, attempt, done } => self.stopped(worker, *attempt, *done),
             Kind::Submitted { call, team, request } => {
                 let request = self.requests.entry((team.clone(), request.clone())).or_default();
-                request.open.insert(*call);
+                request.unanswered.insert(*call);
                 request.refused = false;
             }
             Kind::Answered { call, team, request, outcome, whole } => {
@@ -111,34 +118,39 @@
             Kind::Applied { version } => self.applied(&event.process, *version),
             Kind::Owned { epoch } => {
                 if let Some(other) = self.epochs.insert(*epoch, event.process.clone()) {
-                    self.broken(format!("epoch {epoch} owned by {other} and {}", event.process));
+                    self.add_violation(format!(
+                        "epoch {epoch} owned by {other} and {}",
+                        event.process
+                    ));
                 }
             }
         }
     }
 
-    /// Ends the run and returns all that broke.
+    /// Ends the run at `end` and returns all violations.
     pub fn finish(mut self, end: Duration) -> Vec<Violation> {
         self.now = end;
         self.check_gangs();
         self.violations
     }
 
-    fn broken(&mut self, what: String) {
+    fn add_violation(&mut self, what: String) {
         self.violations.push(Violation { at: self.now, what });
     }
 
     fn granted(&mut self, worker: &str, attempt: u64, mask: u64) {
-        let held = self.grants.entry(worker.to_owned()).or_default();
-        let other = held.iter().find(|(a, m)| **a != attempt && **m & mask != 0);
+        let held_masks = self.grants.entry(worker.to_owned()).or_default();
+        let other = held_masks.iter().find(|(a, m)| **a != attempt && **m & mask != 0);
         let other = other.map(|(attempt, _)| *attempt);
-        held.insert(attempt, mask);
+        held_masks.insert(attempt, mask);
         if let Some(other) = other {
-            self.broken(format!("{worker}: accelerators {mask:#x} held by {other} and {attempt}"));
+            self.add_violation(format!(
+                "{worker}: accelerators {mask:#x} held by {other} and {attempt}"
+            ));
         }
     }
 
-    /// Only `attempts` go on at `worker`.
+    /// Ends all attempts at `worker` except `attempts`.
     fn recovered(&mut self, worker: &str, attempts: &[u64]) {
         self.grants.entry(worker.to_owned()).or_default().retain(|a, _| attempts.contains(a));
         let gangs = self.gangs.iter().filter(|(_, gang)| gang.running.contains(worker));
@@ -160,23 +172,25 @@
         let request = self.requests.entry(key.clone()).or_default();
         request.idempotent = idempotent;
         request.started.insert(attempt);
-        let runs = request.started.len();
+        let attempt_count = request.started.len();
         let refused = request.refused;
         let gang = self.gangs.entry(attempt).or_default();
         gang.members = members;
         gang.request = key;
-        let again = gang.done.contains(worker) || gang.broken.contains(worker);
-        let twice = !gang.running.insert(worker.to_owned());
-        if again || twice {
-            self.broken(format!("{name}: attempt {attempt} started twice at {worker}"));
+        let already_ended = gang.done.contains(worker) || gang.broken.contains(worker);
+        let already_running = !gang.running.insert(worker.to_owned());
+        if already_ended || already_running {
+            self.add_violation(format!("{name}: attempt {attempt} started twice at {worker}"));
         }
-        if !idempotent && runs > 1 {
-            self.broken(format!("{name}: non-idempotent, started by {runs} attempts"));
+        if !idempotent && attempt_count > 1 {
+            self.add_violation(format!(
+                "{name}: non-idempotent, started by {attempt_count} attempts"
+            ));
         }
         if refused {
-            self.broken(format!("{name}: started after it was refused as not run"));
+            self.add_violation(format!("{name}: started after it was refused as not run"));
         }
-        self.note_partial(attempt);
+        self.update_partial(attempt);
     }
 
     fn stopped(&mut self, worker: &str, attempt: u64, done: bool) {
@@ -186,83 +200,92 @@
         }
         let set = if done { &mut gang.done } else { &mut gang.broken };
         set.insert(worker.to_owned());
-        self.note_partial(attempt);
+        self.update_partial(attempt);
     }
 
-    fn note_partial(&mut self, attempt: u64) {
+    fn update_partial(&mut self, attempt: u64) {
         let now = self.now;
         let Some(gang) = self.gangs.get_mut(&attempt) else { return };
-        let whole = gang.running.len() + gang.done.len() >= gang.members;
-        if gang.running.is_empty() || whole {
-            gang.partial = None;
+        let is_whole = gang.running.len() + gang.done.len() >= gang.members;
+        if gang.running.is_empty() || is_whole {
+            gang.partial_since = None;
         } else {
-            gang.partial.get_or_insert(now);
+            gang.partial_since.get_or_insert(now);
         }
     }
 
     fn check_gangs(&mut self) {
-        let late: Vec<u64> = self
+        let overdue: Vec<u64> = self
             .gangs
             .iter()
-            .filter(|(_, g)| g.partial.is_some_and(|since| self.now > since + self.bound))
+            .filter(|(_, g)| {
+                g.partial_since.is_some_and(|since| self.now > since + self.partial_bound)
+            })
             .map(|(attempt, _)| *attempt)
             .collect();
-        for attempt in late {
+        for attempt in overdue {
             let gang = self.gangs.get_mut(&attempt).expect("listed above");
-            gang.partial = None;
+            gang.partial_since = None;
             let (team, request) = gang.request.clone();
             let what = format!(
                 "{team}/{request}: gang {attempt} ran with {} of {} members beyond the bound",
                 gang.running.len(),
                 gang.members
             );
-            self.broken(what);
+            self.add_violation(what);
         }
     }
 
     fn answered(&mut self, call: u64, key: (String, String), outcome: &str, whole: bool) {
         let name = format!("{}/{}", key.0, key.1);
         let request = self.requests.entry(key.clone()).or_default();
-        request.open.remove(&call);
+        request.unanswered.remove(&call);
         let started = !request.started.is_empty();
         let idempotent = request.idempotent;
         let not_run = matches!(outcome, "not_run" | "cancelled_not_run");
         if not_run {
-            request.refused = request.open.is_empty();
+            request.refused = request.unanswered.is_empty();
         }
-        let finals = ["done", "failed", "cancelled_stopped", "cancelled_not_run"];
+        let final_outcomes = ["done", "failed", "cancelled_stopped", "cancelled_not_run"];
         let differs = request.outcomes.iter().any(|o| {
-            !idempotent && finals.contains(&o.as_str()) && finals.contains(&outcome) && o != outcome
+            !idempotent
+                && final_outcomes.contains(&o.as_str())
+                && final_outcomes.contains(&outcome)
+                && o != outcome
         });
         request.outcomes.push(outcome.to_owned());
         if not_run && started {
-            self.broken(format!("{name}: answered {outcome} although it had started"));
+            self.add_violation(format!("{name}: answered {outcome} although it had started"));
         }
         if !whole {
-            self.broken(format!("{name}: the answer does not match its digest"));
+            self.add_violation(format!("{name}: the answer does not match its digest"));
         }
         if differs {
-            self.broken(format!("{name}: answered {outcome} after another final outcome"));
+            self.add_violation(format!("{name}: answered {outcome} after another final outcome"));
         }
         if outcome == "done" {
             let gangs = self.gangs.values().filter(|g| g.request == key);
             let complete = gangs.into_iter().any(|g| g.done.len() == g.members);
             if started && !complete {
-                self.broken(format!("{name}: answered done before all members were done"));
+                self.add_violation(format!("{name}: answered done before all members were done"));
             }
             if !started {
-                self.broken(format!("{name}: answered done but never started"));
+                self.add_violation(format!("{name}: answered done but never started"));
             }
         }
     }
 
     fn applied(&mut self, process: &str, version: u64) {
-        let before = self.versions.insert(process.to_owned(), version).unwrap_or(0);
-        if version < before {
-            self.broken(format!("{process}: configuration {version} in force after {before}"));
+        let previous = self.versions.insert(process.to_owned(), version).unwrap_or(0);
+        if version < previous {
+            self.add_violation(format!(
+                "{process}: configuration {version} in force after {previous}"
+            ));
         }
         if version > self.recorded {
-            self.broken(format!("{process}: configuration {version} in force, never recorded"));
+            self.add_violation(format!(
+                "{process}: configuration {version} in force, never recorded"
+            ));
         }
     }
 }
--- a/crates/audit/src/event.rs
+++ b/crates/audit/src/event.rs
@@ -2,18 +2,18 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Something that happened at one process.
+/// An event at one process.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Event {
-    /// When, on the run's common clock.
+    /// Time of the event, on a clock common to all processes of the run.
     pub at: Duration,
-    /// Where.
+    /// Name of the process.
     pub process: String,
-    /// What.
+    /// What happened, with its details.
     pub kind: Kind,
 }
 
-/// What happened.
+/// The kind of an event, with its details.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
@@ -23,25 +23,25 @@
         worker: String,
         /// The attempt.
         attempt: u64,
-        /// Accelerators.
+        /// Bit mask of the granted accelerators.
         mask: u64,
     },
-    /// An agent took accelerators back.
+    /// An agent released the accelerators of an attempt.
     Freed {
         /// The worker.
         worker: String,
         /// The attempt.
         attempt: u64,
     },
-    /// An agent started, and found these attempts at its endpoint. What its
-    /// predecessor had granted beside them is gone.
+    /// An agent started and found these attempts at its endpoint. Everything else that
+    /// its previous incarnation had granted is released.
     Recovered {
         /// The worker.
         worker: String,
-        /// The attempts.
+        /// The attempts that go on.
         attempts: Vec<u64>,
     },
-    /// An agent and its endpoint are gone with all that they held.
+    /// An agent and its endpoint were lost with all attempts they held.
     Vanished {
         /// The worker.
         worker: String,
@@ -56,9 +56,9 @@
         team: String,
         /// The request id.
         request: String,
-        /// Whether a second run would do no harm.
+        /// Whether the request may safely run more than once.
         idempotent: bool,
-        /// Number of members of the gang.
+        /// Number of members in the gang.
         members: usize,
     },
     /// A member's part ended.
@@ -67,44 +67,44 @@
         worker: String,
         /// The attempt.
         attempt: u64,
-        /// True if it ran to its end.
+        /// Whether it completed.
         done: bool,
     },
-    /// A caller submitted a request.
+    /// A client submitted a request.
     Submitted {
-        /// Names the submission.
+        /// Id of the submission.
         call: u64,
         /// The team.
         team: String,
         /// The request id.
         request: String,
     },
-    /// A caller got an answer to a submission.
+    /// A client received the reply to a submission.
     Answered {
-        /// Names the submission.
+        /// Id of the submission.
         call: u64,
         /// The team.
         team: String,
         /// The request id.
         request: String,
-        /// The outcome's name, or `refused` where nothing is said about it.
+        /// Name of the outcome, or `refused` if the reply gives no outcome.
         outcome: String,
-        /// True unless the result does not match its digest.
+        /// False if the result does not match its digest.
         whole: bool,
     },
-    /// A configuration change was recorded.
+    /// A configuration change was written to the table.
     Recorded {
         /// The configuration's version.
         version: u64,
     },
-    /// A process put a configuration in force.
+    /// A process applied a configuration.
     Applied {
         /// The configuration's version.
         version: u64,
     },
-    /// A process took ownership.
+    /// A process became owner.
     Owned {
-        /// Its epoch.
+        /// The epoch of its ownership.
         epoch: u64,
     },
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,8 +1,8 @@
-//! Events of a run, and the checker that reads them.
+//! Events of a test run, and a checker of invariants over them.
 //!
-//! Processes and tests emit [`Event`]s; [`Checker`] reads those of a whole run
-//! in the order of their times and reports each broken invariant. The checker
-//! knows nothing of how the system works, only what must hold.
+//! Processes and tests emit [`Event`]s; [`Checker`] reads the events of a whole run
+//! in order of time and reports each violated invariant. The checker depends only on
+//! the invariants, not on the implementation of the system.
 
 mod checker;
 mod event;
