--- a/crates/dispatch/src/review.rs
+++ b/crates/dispatch/src/review.rs
@@ -1,52 +1,51 @@
-//! Another look at what waits, where workers changed and nothing was decided.
+//! Re-evaluates why steps wait when workers have closed or opened without a round of planning.
 //!
-//! A worker that drains or falls silent changes no decision, so nothing is
-//! decided anew. What waits may then wait for it, and no longer for room.
+//! A worker that drains or stops responding lets nothing new start, so it causes no planning.
+//! A step that waited for room may then wait for that worker instead.
 
 use crate::cause::Cause;
 use crate::close_reason::CloseReason;
 use crate::owner::Owner;
-use crate::tally::Bar;
+use crate::tally::Restriction;
 
-/// Time between two looks, in milliseconds: a line comes no sooner than that
-/// after the one before.
-const PAUSE: u64 = 1000;
+/// Time between two reviews. Log lines about one step are at least this far apart anyway.
+const REVIEW_INTERVAL_MS: u64 = 1000;
 
-/// What the last look found.
+/// Result of the last review.
 #[derive(Debug, Default)]
 pub(crate) struct Review {
-    /// No look before this time.
-    next: u64,
-    /// The agents whose workers were not open.
-    shut: Vec<String>,
+    /// Earliest time of the next review.
+    next_at: u64,
+    /// The agents whose workers were closed.
+    closed_agents: Vec<String>,
 }
 
 impl Owner {
-    /// Takes note of steps whose cause has become a lack of workers, or is none
-    /// any more.
+    /// Updates the cause of steps that now wait for workers, or do so no more.
     pub(crate) fn review_waits(&mut self, now: u64) {
-        if now < self.review.next {
+        if now < self.review.next_at {
             return;
         }
-        self.review.next = now + PAUSE;
+        self.review.next_at = now + REVIEW_INTERVAL_MS;
         let shut = |agent| CloseReason::of(agent, &self.settings, now).is_some();
         let agents = self.agents.iter().filter(|(_, agent)| shut(agent));
         let shut: Vec<String> = agents.map(|(name, _)| name.clone()).collect();
-        if shut == self.review.shut {
+        if shut == self.review.closed_agents {
             return;
         }
-        self.review.shut = shut;
-        let waits = self.waits.on_workers();
+        self.review.closed_agents = shut;
+        let waits = self.waits.waiting_for_workers();
         if waits.is_empty() {
             return;
         }
         let snapshot = self.snapshot(now);
-        let bars = vec![Bar::Open; snapshot.spots.len()];
+        let restrictions = vec![Restriction::None; snapshot.spots.len()];
         for (group, wait) in waits {
-            let found = self.cause(&group, wait.tasks, &snapshot.spots, &bars);
-            let changed = |cause: &Cause| cause.is_lack() || wait.cause.is_lack();
+            let found = self.cause(&group, wait.tasks, &snapshot.spots, &restrictions);
+            let changed =
+                |cause: &Cause| cause.is_lack_of_workers() || wait.cause.is_lack_of_workers();
             if let Some((cause, room)) = found.filter(|(cause, _)| changed(cause)) {
-                self.waits.note(group, (wait.tasks, cause), room, now);
+                self.waits.record(group, (wait.tasks, cause), room, now);
             }
         }
     }
