--- a/crates/agent/src/brain.rs
+++ b/crates/agent/src/brain.rs
@@ -108,11 +108,11 @@
 
     fn peer(&mut self, event: peer::Event<Frame>) {
         self.input(match event {
-            peer::Event::Linked { link, hello, dialled } => {
+            peer::Event::Connected { link, hello, dialled } => {
                 Input::Connected { link, hello, dialled }
             }
-            peer::Event::Unlinked { link } => Input::Disconnected { link },
-            peer::Event::Undialled { address, error } => {
+            peer::Event::Disconnected { link } => Input::Disconnected { link },
+            peer::Event::DialFailed { address, error } => {
                 log::info!(step = "dial", peer = address.as_str(); "{error}");
                 Input::DialFailed { address }
             }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use quincewheel_conf::Own;
+use quincewheel_conf::LocalSettings;
 use quincewheel_grant::{self as grant, Grantor, Input};
 use quincewheel_http::{Reply, Server};
 use quincewheel_peer::{Hub, Traffic};
@@ -34,18 +34,18 @@
         Err(code) => return code,
     };
     if let Some(path) = quincewheel_platform::settings_path().filter(|_| command == "serve") {
-        return match Own::resolve(&values) {
-            Err(errors) => PROGRAM.refuse(&errors),
-            Ok(own) => PROGRAM.end(site::serve(&path, &own)),
+        return match LocalSettings::resolve(&values) {
+            Err(errors) => PROGRAM.report_errors(&errors),
+            Ok(own) => PROGRAM.report_result(site::serve(&path, &own)),
         };
     }
     match Settings::resolve(&values) {
-        Err(errors) => PROGRAM.refuse(&errors),
+        Err(errors) => PROGRAM.report_errors(&errors),
         Ok(_) if command == "check" => {
             print!("{}", values.show(DEFINITIONS));
             ExitCode::SUCCESS
         }
-        Ok(settings) => PROGRAM.end(serve(settings)),
+        Ok(settings) => PROGRAM.report_result(serve(settings)),
     }
 }
 
--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quincewheel_conf::Own;
+use quincewheel_conf::LocalSettings;
 use quincewheel_dispatch::rows::{self, Node};
 use quincewheel_http::{Body, Reply, Request, Server};
 use quincewheel_log::Limit;
@@ -59,7 +59,7 @@
 }
 
 /// Serves until the process is told to end.
-pub(crate) fn serve(settings: &Path, own: &Own) -> io::Result<()> {
+pub(crate) fn serve(settings: &Path, own: &LocalSettings) -> io::Result<()> {
     let site = platform::read_settings(settings).map_err(io::Error::other)?;
     let Some(side) = site.agent.clone() else {
         return Err(io::Error::other("the settings name no address for a worker's reports"));
@@ -97,7 +97,7 @@
         actix_rt::spawn(hear_owners(Rc::clone(&agent), peers_in));
         actix_rt::spawn(keep_time(Rc::clone(&agent)));
         let grace = Cell::new(site.bounds.grace);
-        quincewheel_conf::ending(|| reload(&agent, &path, &grace)).await?;
+        quincewheel_conf::wait_for_shutdown(|| reload(&agent, &path, &grace)).await?;
         log::info!(event = "drain"; "shutting down");
         tokio::time::sleep(Duration::from_millis(grace.get()).saturating_sub(LAST)).await;
         log::info!(event = "stop"; "ended");
@@ -157,7 +157,7 @@
     let commit = rows::announcement(&site.name, &node);
     let limit = Limit::default();
     let skip = move |SkippedEntry { list, detail }| {
-        if let Some(held) = limit.pass(quincewheel_clock::boot()) {
+        if let Some(held) = limit.allow(quincewheel_clock::boot()) {
             log::warn!(event = "entry left out", list = list, untold = held; "{detail}");
         }
     };
@@ -204,8 +204,8 @@
         let now = quincewheel_clock::boot();
         match event {
             Event::Frame { link, frame } => agent.runner.borrow_mut().on_order(link, frame, now),
-            Event::Unlinked { link } => agent.runner.borrow_mut().on_disconnected(link),
-            Event::Linked { .. } | Event::Undialled { .. } => {}
+            Event::Disconnected { link } => agent.runner.borrow_mut().on_disconnected(link),
+            Event::Connected { .. } | Event::DialFailed { .. } => {}
         }
         carry_out(&agent);
         agent.wake.notify_one();
--- a/crates/agent/src/site/metrics.rs
+++ b/crates/agent/src/site/metrics.rs
@@ -78,7 +78,7 @@
     /// them may do so at any rate.
     pub fn left_out(&self, detail: &str, now: u64) {
         self.reports.inc();
-        if let Some(held) = self.limit.pass(now) {
+        if let Some(held) = self.limit.allow(now) {
             log::warn!(event = "report left out", untold = held; "{detail}");
         }
     }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -7,18 +7,18 @@
 
 mod common;
 mod definition;
-mod end;
 mod error;
-mod own;
+mod local_settings;
 mod parse;
 mod resolver;
+mod shutdown;
 mod values;
 
 pub use common::{EVENTS, FLEET_KEY, LISTEN, LOG_LEVEL, METRICS_PORT, PLATFORM};
 pub use definition::Definition;
-pub use end::ending;
 pub use error::Error;
-pub use own::Own;
+pub use local_settings::LocalSettings;
 pub use parse::{Command, Program, parse};
 pub use resolver::Resolver;
+pub use shutdown::wait_for_shutdown;
 pub use values::Values;
--- a/crates/conf/src/own.rs
+++ b/crates/conf/src/local_settings.rs
@@ -8,7 +8,7 @@
 /// The settings that a process on the users' platform reads from its own flags and
 /// variables. All other settings come from the platform's file.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct LocalSettings {
     /// Key by which processes of the system authenticate each other.
     pub fleet_key: String,
     /// Minimum level of log lines.
@@ -17,15 +17,15 @@
     pub metrics_port: u16,
 }
 
-impl Own {
+impl LocalSettings {
     /// Validates the values. Returns all errors found.
-    pub fn resolve(values: &Values) -> Result<Own, Vec<Error>> {
+    pub fn resolve(values: &Values) -> Result<LocalSettings, Vec<Error>> {
         let mut r = Resolver::new(values);
-        let own = Own {
+        let settings = LocalSettings {
             fleet_key: r.secret(&FLEET_KEY, 16),
             log_level: r.level(&LOG_LEVEL),
             metrics_port: r.number(&METRICS_PORT, 1, u16::MAX),
         };
-        r.finish(own)
+        r.finish(settings)
     }
 }
--- a/crates/conf/src/parse.rs
+++ b/crates/conf/src/parse.rs
@@ -116,12 +116,12 @@
                 Err(ExitCode::SUCCESS)
             }
             Ok(Command::Run(command, values)) => Ok((command, values)),
-            Err(errors) => Err(self.refuse(&errors)),
+            Err(errors) => Err(self.report_errors(&errors)),
         }
     }
 
     /// Prints all `errors` of the settings to standard error. Returns the exit code.
-    pub fn refuse(&self, errors: &[Error]) -> ExitCode {
+    pub fn report_errors(&self, errors: &[Error]) -> ExitCode {
         for error in errors {
             eprintln!("{}: {error}", self.name);
         }
@@ -129,7 +129,7 @@
     }
 
     /// Prints the error of `result`, if any, to standard error. Returns the exit code.
-    pub fn end(&self, result: std::io::Result<()>) -> ExitCode {
+    pub fn report_result(&self, result: std::io::Result<()>) -> ExitCode {
         match result {
             Ok(()) => ExitCode::SUCCESS,
             Err(error) => {
--- a/crates/conf/src/end.rs
+++ b/crates/conf/src/shutdown.rs
@@ -6,7 +6,7 @@
 ///
 /// SIGHUP calls `reload`, as it announces changed settings. Without a handler, it
 /// would terminate the process.
-pub async fn ending(reload: impl Fn()) -> io::Result<()> {
+pub async fn wait_for_shutdown(reload: impl Fn()) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let mut hup = signal(SignalKind::hangup())?;
--- a/crates/entry/src/brain.rs
+++ b/crates/entry/src/brain.rs
@@ -129,9 +129,11 @@
 
     fn peer(&mut self, event: peer::Event<Frame>) {
         let input = match event {
-            peer::Event::Linked { link, hello, dialled } => Input::Linked { link, hello, dialled },
-            peer::Event::Unlinked { link } => Input::Unlinked { link },
-            peer::Event::Undialled { address, error } => {
+            peer::Event::Connected { link, hello, dialled } => {
+                Input::Linked { link, hello, dialled }
+            }
+            peer::Event::Disconnected { link } => Input::Unlinked { link },
+            peer::Event::DialFailed { address, error } => {
                 log::info!(step = "dial", peer = address.as_str(); "{error}");
                 Input::Undialled { address }
             }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime};
 
-use quincewheel_conf::Own;
+use quincewheel_conf::LocalSettings;
 use quincewheel_http::Server;
 use quincewheel_peer::{Hub, Traffic};
 use quincewheel_ring as ring;
@@ -46,7 +46,7 @@
                 ExitCode::FAILURE
             }
             Ok(_) => ExitCode::SUCCESS,
-            Err(error) => PROGRAM.end(Err(error)),
+            Err(error) => PROGRAM.report_result(Err(error)),
         };
     }
     if let [command, rest @ ..] = args
@@ -61,22 +61,22 @@
     if command == "burn" {
         return match Settings::resolve_burn(&values) {
             Ok((rpc, key)) => burn_report::print(&rpc, &key),
-            Err(errors) => PROGRAM.refuse(&errors),
+            Err(errors) => PROGRAM.report_errors(&errors),
         };
     }
     if let Some(path) = quincewheel_platform::settings_path().filter(|_| command == "serve") {
-        return match Own::resolve(&values) {
-            Err(errors) => PROGRAM.refuse(&errors),
-            Ok(own) => PROGRAM.end(site::serve(&path, &own)),
+        return match LocalSettings::resolve(&values) {
+            Err(errors) => PROGRAM.report_errors(&errors),
+            Ok(own) => PROGRAM.report_result(site::serve(&path, &own)),
         };
     }
     match Settings::resolve(&values) {
-        Err(errors) => PROGRAM.refuse(&errors),
+        Err(errors) => PROGRAM.report_errors(&errors),
         Ok(_) if command == "check" => {
             print!("{}", values.show(DEFINITIONS));
             check_platform()
         }
-        Ok(settings) => PROGRAM.end(serve(settings)),
+        Ok(settings) => PROGRAM.report_result(serve(settings)),
     }
 }
 
@@ -111,7 +111,7 @@
             ExitCode::FAILURE
         }
         Ok(_) => ExitCode::SUCCESS,
-        Err(error) => PROGRAM.end(Err(error)),
+        Err(error) => PROGRAM.report_result(Err(error)),
     }
 }
 
--- a/crates/entry/src/site.rs
+++ b/crates/entry/src/site.rs
@@ -30,7 +30,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quincewheel_conf::Own;
+use quincewheel_conf::LocalSettings;
 use quincewheel_http::{Reply, Request, Server};
 use quincewheel_job::Answer;
 use quincewheel_peer::{Event, Hub};
@@ -52,7 +52,7 @@
 const MAX_BODY: usize = 1 << 20;
 
 /// Serves until the process is told to end.
-pub(crate) fn serve(settings: &Path, own: &Own) -> io::Result<()> {
+pub(crate) fn serve(settings: &Path, own: &LocalSettings) -> io::Result<()> {
     let site = platform::read_settings(settings).map_err(io::Error::other)?;
     let Some(entry) = site.entry.clone() else {
         return Err(io::Error::other(
@@ -90,7 +90,7 @@
         actix_rt::spawn(upkeep::run(Rc::clone(&shared)));
         actix_rt::spawn(answer(Rc::clone(&shared), work_in));
         actix_rt::spawn(own::watch(Rc::clone(&shared), path.clone()));
-        quincewheel_conf::ending(|| own::reload(&shared, &path)).await?;
+        quincewheel_conf::wait_for_shutdown(|| own::reload(&shared, &path)).await?;
         let grace = Duration::from_millis(shared.bounds.get().grace);
         drain(&shared, grace).await;
         log::info!(event = "stop"; "ended");
--- a/crates/entry/src/site/links.rs
+++ b/crates/entry/src/site/links.rs
@@ -63,17 +63,17 @@
 fn hear(shared: &Shared, event: Event<Notice>) {
     let now = quincewheel_clock::boot();
     match event {
-        Event::Linked { link, hello, dialled } => {
+        Event::Connected { link, hello, dialled } => {
             linked(shared, link, &hello, dialled.is_empty(), now);
         }
-        Event::Unlinked { link } => unlinked(shared, link, now),
+        Event::Disconnected { link } => unlinked(shared, link, now),
         Event::Frame { link, frame: Notice::Entry(peer) } => hear_entry(shared, link, peer),
         Event::Frame { link, frame } => {
             if let Some(owner) = shared.owner.borrow_mut().as_mut() {
                 owner.on_notice(link, frame, now);
             }
         }
-        Event::Undialled { address, error } => {
+        Event::DialFailed { address, error } => {
             // Once for each loss; the tries that follow tell nothing new.
             if shared.dials.borrow().is_first(&address) {
                 log::info!(event = "not dialled", peer = address.as_str(); "{error}");
--- a/crates/entry/src/site/skips.rs
+++ b/crates/entry/src/site/skips.rs
@@ -14,7 +14,7 @@
     let limit = Limit::default();
     Rc::new(move |SkippedEntry { list, detail }| {
         metrics.skipped(list);
-        if let Some(held) = limit.pass(quincewheel_clock::boot()) {
+        if let Some(held) = limit.allow(quincewheel_clock::boot()) {
             log::warn!(event = "entry left out", list = list, untold = held; "{detail}");
         }
     })
--- a/crates/log/src/limit.rs
+++ b/crates/log/src/limit.rs
@@ -18,7 +18,7 @@
     /// Returns the number of events suppressed since the last line if a line is
     /// allowed at `now` (in milliseconds). Otherwise counts the event as suppressed
     /// and returns `None`.
-    pub fn pass(&self, now: u64) -> Option<u64> {
+    pub fn allow(&self, now: u64) -> Option<u64> {
         let next = self.next_allowed.load(Ordering::Relaxed);
         let allowed = now >= next
             && self
--- a/crates/peer/src/hub.rs
+++ b/crates/peer/src/hub.rs
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub enum Event<R> {
     /// A connection was authenticated.
-    Linked {
+    Connected {
         /// Id of the connection.
         link: LinkId,
         /// Identity of the peer.
@@ -50,12 +50,12 @@
         dialled: String,
     },
     /// A connection was closed.
-    Unlinked {
+    Disconnected {
         /// The closed connection.
         link: LinkId,
     },
     /// A dial failed.
-    Undialled {
+    DialFailed {
         /// The address that was dialled.
         address: String,
         /// The cause.
@@ -227,7 +227,7 @@
         Ok(link) => serve(state, link, address).await,
         Err(error) => {
             let error = error.to_string();
-            state.report(Event::Undialled { address, error }).await;
+            state.report(Event::DialFailed { address, error }).await;
         }
     }
 }
@@ -245,7 +245,7 @@
     state.links.borrow_mut().insert(id, Outgoing { frames, abort: Rc::clone(&abort) });
     let hello = link.hello().clone();
     let name = hello.name.clone();
-    state.report(Event::Linked { link: id, hello, dialled }).await;
+    state.report(Event::Connected { link: id, hello, dialled }).await;
     let (mut sender, mut receiver) = link.split();
     let writing = async {
         while let Some(frame) = queue.recv().await {
@@ -276,7 +276,7 @@
         () = abort.notified() => {}
     }
     state.links.borrow_mut().remove(&id);
-    state.report(Event::Unlinked { link: id }).await;
+    state.report(Event::Disconnected { link: id }).await;
 }
 
 fn listen(address: &str) -> Result<TcpListener, Error> {
--- a/crates/wire/src/hello.rs
+++ b/crates/wire/src/hello.rs
@@ -16,7 +16,7 @@
     pub role: Role,
     /// Name of the worker for an agent, or of the instance for an entry.
     pub name: String,
-    /// Random id chosen when the process started; it tells a restarted process
+    /// Random id chosen when the process started. It distinguishes a restarted process
     /// from its previous incarnation.
     pub incarnation: u64,
 }
