--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quincewheel_conf::Own;
+use quincewheel_conf::LocalSettings;
 use quincewheel_dispatch::rows::{self, Node};
 use quincewheel_http::{Body, Reply, Request, Server};
 use quincewheel_log::Limit;
@@ -60,7 +60,7 @@
 }
 
 /// Runs the agent until the process receives a signal to terminate.
-pub(crate) fn serve(settings: &Path, own: &Own) -> io::Result<()> {
+pub(crate) fn serve(settings: &Path, own: &LocalSettings) -> io::Result<()> {
     let config = platform::read_settings(settings).map_err(io::Error::other)?;
     let Some(listener) = config.agent.clone() else {
         return Err(io::Error::other("the settings name no address for a worker's reports"));
@@ -98,7 +98,7 @@
         actix_rt::spawn(process_peer_events(Rc::clone(&agent), peers_in));
         actix_rt::spawn(run_ticks(Rc::clone(&agent)));
         let grace = Cell::new(config.bounds.grace);
-        quincewheel_conf::ending(|| reload(&agent, &path, &grace)).await?;
+        quincewheel_conf::wait_for_shutdown(|| reload(&agent, &path, &grace)).await?;
         log::info!(event = "drain"; "shutting down");
         tokio::time::sleep(Duration::from_millis(grace.get()).saturating_sub(EXIT_MARGIN)).await;
         log::info!(event = "stop"; "ended");
@@ -161,7 +161,7 @@
     let commit = rows::announcement(&config.name, &node);
     let log_limit = Limit::default();
     let skip = move |SkippedEntry { list, detail }| {
-        if let Some(suppressed) = log_limit.pass(quincewheel_clock::boot()) {
+        if let Some(suppressed) = log_limit.allow(quincewheel_clock::boot()) {
             log::warn!(event = "entry left out", list = list, untold = suppressed; "{detail}");
         }
     };
@@ -210,8 +210,8 @@
         let now = quincewheel_clock::boot();
         match event {
             Event::Frame { link, frame } => agent.runner.borrow_mut().on_order(link, frame, now),
-            Event::Unlinked { link } => agent.runner.borrow_mut().on_disconnected(link),
-            Event::Linked { .. } | Event::Undialled { .. } => {}
+            Event::Disconnected { link } => agent.runner.borrow_mut().on_disconnected(link),
+            Event::Connected { .. } | Event::DialFailed { .. } => {}
         }
         carry_out(&agent);
         agent.wake.notify_one();
--- a/crates/agent/src/site/metrics.rs
+++ b/crates/agent/src/site/metrics.rs
@@ -79,7 +79,7 @@
     /// them at any rate.
     pub fn count_invalid_report(&self, detail: &str, now: u64) {
         self.invalid_reports.inc();
-        if let Some(suppressed) = self.log_limit.pass(now) {
+        if let Some(suppressed) = self.log_limit.allow(now) {
             log::warn!(event = "report left out", untold = suppressed; "{detail}");
         }
     }
--- a/crates/conf/src/end.rs
+++ b/crates/conf/src/shutdown.rs
@@ -2,11 +2,11 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Waits until the process is told to end, by SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT, on which the process is to shut down.
 ///
-/// SIGHUP announces changed settings. It must not end the process, which is
-/// what it does by default; `reload` is called instead.
-pub async fn ending(reload: impl Fn()) -> io::Result<()> {
+/// SIGHUP calls `reload`, as it announces changed settings. Without a handler, it
+/// would terminate the process.
+pub async fn wait_for_shutdown(reload: impl Fn()) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let mut hup = signal(SignalKind::hangup())?;
--- a/crates/entry/src/site.rs
+++ b/crates/entry/src/site.rs
@@ -31,7 +31,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use quincewheel_conf::Own;
+use quincewheel_conf::LocalSettings;
 use quincewheel_http::{Reply, Request, Server};
 use quincewheel_job::Answer;
 use quincewheel_peer::{Event, Hub};
@@ -53,7 +53,7 @@
 const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// Serves until the process receives a signal to terminate.
-pub(crate) fn serve(settings: &Path, own: &Own) -> io::Result<()> {
+pub(crate) fn serve(settings: &Path, own: &LocalSettings) -> io::Result<()> {
     let site = platform::read_settings(settings).map_err(io::Error::other)?;
     let Some(entry) = site.entry.clone() else {
         return Err(io::Error::other(
@@ -91,7 +91,7 @@
         actix_rt::spawn(machines::run(Rc::clone(&shared)));
         actix_rt::spawn(serve_calls(Rc::clone(&shared), calls_in));
         actix_rt::spawn(ownership::watch_settings(Rc::clone(&shared), path.clone()));
-        quincewheel_conf::ending(|| ownership::reload_settings(&shared, &path)).await?;
+        quincewheel_conf::wait_for_shutdown(|| ownership::reload_settings(&shared, &path)).await?;
         let grace = Duration::from_millis(shared.bounds.get().grace);
         drain(&shared, grace).await;
         log::info!(event = "stop"; "ended");
--- a/crates/entry/src/site/links.rs
+++ b/crates/entry/src/site/links.rs
@@ -63,17 +63,17 @@
 fn on_event(shared: &Shared, event: Event<Notice>) {
     let now = quincewheel_clock::boot();
     match event {
-        Event::Linked { link, hello, dialled } => {
+        Event::Connected { link, hello, dialled } => {
             on_connected(shared, link, &hello, dialled.is_empty(), now);
         }
-        Event::Unlinked { link } => on_disconnected(shared, link, now),
+        Event::Disconnected { link } => on_disconnected(shared, link, now),
         Event::Frame { link, frame: Notice::Entry(peer) } => on_peer(shared, link, peer),
         Event::Frame { link, frame } => {
             if let Some(owner) = shared.owner.borrow_mut().as_mut() {
                 owner.on_notice(link, frame, now);
             }
         }
-        Event::Undialled { address, error } => {
+        Event::DialFailed { address, error } => {
             // Only the first failed attempt is logged; the retries that follow add nothing.
             if shared.backoff.borrow().is_first_attempt(&address) {
                 log::info!(event = "not dialled", peer = address.as_str(); "{error}");
--- a/crates/entry/src/site/skipped.rs
+++ b/crates/entry/src/site/skipped.rs
@@ -14,7 +14,7 @@
     let limit = Limit::default();
     Rc::new(move |SkippedEntry { list, detail }| {
         metrics.count_skipped(list);
-        if let Some(suppressed) = limit.pass(quincewheel_clock::boot()) {
+        if let Some(suppressed) = limit.allow(quincewheel_clock::boot()) {
             log::warn!(event = "entry left out", list = list, untold = suppressed; "{detail}");
         }
     })
