--- a/tests/chaos.rs
+++ b/tests/chaos.rs
@@ -1,8 +1,10 @@
-//! Seeded schedules of all failures under load, checked by the checker.
+//! Random, seeded schedules of all faults under load; the checker verifies the
+//! invariants.
 
-use crate::bed::Chaos;
+use crate::harness::Chaos;
 
-/// Seeds that CI runs. More: QUINCEWHEEL_SEEDS=1000..2000 cargo test chaos.
+/// Seeds that CI runs. To run others: QUINCEWHEEL_SEEDS=1000..2000 cargo test
+/// chaos.
 const SEEDS: std::ops::Range<u64> = 0..60;
 
 fn seeds() -> std::ops::Range<u64> {
@@ -11,14 +13,14 @@
     first.parse().expect("a number")..end.parse().expect("a number")
 }
 
-/// Symptom: any broken invariant. Sequence: kills, freezes, cuts, table faults
-/// and messy links, overlapping. The seed in the message repeats the run.
+/// No invariant breaks under overlapping kills, freezes, partitions, table
+/// faults and disordered frames. The seed in the message repeats the run.
 #[actix_rt::test]
 async fn no_schedule_breaks_an_invariant() {
     for seed in seeds() {
-        let mut chaos = Chaos::settled(seed).await;
+        let mut chaos = Chaos::ready(seed).await;
         chaos.run(25).await;
-        chaos.world.check(&format!("seed {seed}"));
+        chaos.cluster.check_invariants(&format!("seed {seed}"));
         assert_eq!(chaos.unanswered(), 0, "seed {seed}: calls without an answer");
     }
 }
--- a/tests/checker.rs
+++ b/tests/checker.rs
@@ -1,8 +1,8 @@
-//! The checker itself: it must catch what is planted.
+//! The checker reports every kind of violation that it exists for.
 
 use quincewheel_audit::{Checker, Event, Kind};
 
-use crate::bed::{GANG_BOUND, ms, secs};
+use crate::harness::{GANG_BOUND, ms, secs};
 
 fn started(attempt: u64, worker: &str, members: usize) -> Kind {
     Kind::Started {
@@ -32,11 +32,11 @@
     Kind::Granted { worker: "w".to_owned(), attempt, mask }
 }
 
-/// Symptom: a broken invariant goes unseen. Sequence: each is planted once.
-/// Cause: a checker that always passes proves nothing.
+/// Guards against a checker that misses violations: each invariant is broken
+/// once, and the checker must report it.
 #[test]
 fn planted_violations_are_caught() {
-    let plants: Vec<(&str, Vec<Kind>)> = vec![
+    let cases: Vec<(&str, Vec<Kind>)> = vec![
         ("accelerator held twice", vec![granted(1, 3), granted(2, 2)]),
         ("second run", vec![submitted(1), started(1, "w", 1), started(2, "v", 1)]),
         ("started twice", vec![submitted(1), started(1, "w", 1), started(1, "w", 1)]),
@@ -81,7 +81,7 @@
         ("two owners of an epoch", vec![Kind::Owned { epoch: 1 }, Kind::Owned { epoch: 1 }]),
     ];
     let mut lines = Vec::new();
-    for (what, kinds) in plants {
+    for (what, kinds) in cases {
         let event =
             |(at, kind): (usize, Kind)| Event { at: ms(at as u64), process: "p".to_owned(), kind };
         let events: Vec<Event> = kinds.into_iter().enumerate().map(event).collect();
--- a/tests/guarantees.rs
+++ b/tests/guarantees.rs
@@ -1,61 +1,63 @@
-//! Guarantees are reclaimed, cancellations are told truthfully.
+//! Guaranteed capacity is reclaimed, and cancellations report the true outcome.
 
 use quincewheel_pool::{Adjacency, Shape};
 use quincewheel_wire::{Ask, Job};
 
-use crate::bed::{OTHER, TEAM, Table, Who, World, job, ms, name, put_guarantee, secs, share};
+use crate::harness::{
+    Cluster, OTHER, Process, TEAM, TableState, answer_name, job, ms, put_guarantee, secs, share,
+};
 
-/// A world of four workers full of the other team's borrowed work, of which
-/// `deaf` jobs ignore requests to checkpoint.
-async fn full(deaf: usize) -> World {
-    let mut world = World::settled(2, 4, 1).await;
-    let at = world.owner().unwrap();
+/// Starts a cluster of four workers, filled with the other team's borrowed work,
+/// of which `unresponsive` jobs ignore requests to checkpoint.
+async fn full_pool(unresponsive: usize) -> Cluster {
+    let mut cluster = Cluster::ready(2, 4, 1).await;
+    let entry = cluster.owner().unwrap();
     let whole = Shape::new(2, 8, Adjacency::Any);
-    world.ask(at, put_guarantee(TEAM, 0, vec![share(whole, 1)]));
-    world.run(secs(1)).await;
+    cluster.call(entry, put_guarantee(TEAM, 0, vec![share(whole, 1)]));
+    cluster.run(secs(1)).await;
     for index in 0..32 {
-        let mark = if index < deaf { "x" } else { "" };
+        let mark = if index < unresponsive { "x" } else { "" };
         let payload = format!("{mark}600000").into_bytes();
         let base = job(&format!("borrowed-{index}"), true, secs(600));
         let deadline = secs(3600);
         let borrowed = Job { team: OTHER.to_owned(), payload, deadline, ..base };
-        world.submit(at, &borrowed);
+        cluster.submit(entry, &borrowed);
     }
-    world.run(secs(2)).await;
-    assert_eq!((0..4).map(|a| world.grantor(a).granted().count_ones()).sum::<u32>(), 32);
-    world
+    cluster.run(secs(2)).await;
+    assert_eq!((0..4).map(|a| cluster.grantor(a).granted().count_ones()).sum::<u32>(), 32);
+    cluster
 }
 
-/// Symptom: a team's guaranteed shape is not there when it is asked for.
-/// Sequence: the pool is full of borrowed work; some of it ignores the request
-/// to checkpoint, workers fail meanwhile, the table is down. Cause: what was
-/// lent cannot be had back, or what is freed goes to somebody else.
+/// A team does not get its guaranteed shape from a pool full of borrowed work:
+/// borrowed capacity cannot be reclaimed, or freed capacity goes to another team.
+/// Some of the work ignores the request to checkpoint, a worker fails meanwhile,
+/// or the table is down.
 #[actix_rt::test]
 async fn a_guarantee_is_reclaimed_from_a_full_pool() {
     let mut lines = Vec::new();
-    for (what, deaf) in
+    for (what, unresponsive) in
         [("obedient", 0), ("half deaf", 16), ("all deaf", 32), ("worker lost", 16), ("outage", 8)]
     {
-        let mut world = full(deaf).await;
-        let at = world.follower();
+        let mut cluster = full_pool(unresponsive).await;
+        let entry = cluster.follower();
         let idempotent = what == "outage";
         if what == "outage" {
-            world.table = Table::Down;
-            world.run(secs(3)).await;
+            cluster.table = TableState::Down;
+            cluster.run(secs(3)).await;
         }
-        let asked = world.now;
+        let submitted_at = cluster.now;
         let shape = Shape::new(2, 8, Adjacency::Any);
         let claim = Job { shape, ..job("claim", idempotent, ms(100)) };
-        let call = world.submit(at, &claim);
+        let call = cluster.submit(entry, &claim);
         if what == "worker lost" {
-            world.run(ms(200)).await;
-            world.vanish(0);
+            cluster.run(ms(200)).await;
+            cluster.remove_worker(0);
         }
-        world.run(secs(60)).await;
-        world.check(what);
-        let start = *world.starts("claim").last().expect("the guarantee was honoured");
-        let waited = (start - asked).as_millis();
-        lines.push(format!("{what}: {} after {waited} ms", name(world.answer(call))));
+        cluster.run(secs(60)).await;
+        cluster.check_invariants(what);
+        let start = *cluster.start_times("claim").last().expect("the guarantee was honoured");
+        let waited = (start - submitted_at).as_millis();
+        lines.push(format!("{what}: {} after {waited} ms", answer_name(cluster.answer(call))));
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
     obedient: done after 29 ms
@@ -66,36 +68,36 @@
     ");
 }
 
-/// Symptom: borrowed work that gave way is lost. Sequence: as above, then the
-/// guaranteed job ends. Cause: giving way is taken for failing.
+/// Preempted borrowed work is lost after the guaranteed job has ended, because
+/// preemption is taken for failure.
 #[actix_rt::test]
-async fn work_that_gave_way_runs_again() {
-    let mut world = full(0).await;
-    let at = world.owner().unwrap();
+async fn preempted_work_runs_again() {
+    let mut cluster = full_pool(0).await;
+    let entry = cluster.owner().unwrap();
     let shape = Shape::new(2, 8, Adjacency::Any);
-    world.submit(at, &Job { shape, ..job("claim", false, ms(100)) });
-    world.run(secs(20)).await;
-    world.check("work that gave way");
-    let granted: u32 = (0..4).map(|a| world.grantor(a).granted().count_ones()).sum();
+    cluster.submit(entry, &Job { shape, ..job("claim", false, ms(100)) });
+    cluster.run(secs(20)).await;
+    cluster.check_invariants("preempted work");
+    let granted: u32 = (0..4).map(|a| cluster.grantor(a).granted().count_ones()).sum();
     assert_eq!(granted, 32, "the pool is full again");
 }
 
-/// Symptom: a cancelled bond is issued, or one that was issued is reported as
-/// cancelled before it ran. Sequence: the cancel comes at any moment between
-/// submission and result. Cause: the cancel races the start.
+/// A cancelled job runs, or a job that ran is reported as cancelled before it
+/// ran, because the cancel races the start. The cancel arrives at any moment
+/// between submission and result.
 #[actix_rt::test]
-async fn a_cancel_at_any_moment_is_told_truthfully() {
+async fn a_cancel_at_any_moment_reports_the_true_outcome() {
     let mut tally = std::collections::BTreeMap::<String, u32>::new();
     for offset in 0..40 {
-        let mut world = World::settled(2, 3, 2).await;
-        let (owner, at) = (world.owner().unwrap(), world.follower());
-        let bond = world.submit(at, &job("bond", false, ms(20)));
-        world.run(ms(offset)).await;
+        let mut cluster = Cluster::ready(2, 3, 2).await;
+        let (owner, entry) = (cluster.owner().unwrap(), cluster.follower());
+        let bond = cluster.submit(entry, &job("bond", false, ms(20)));
+        cluster.run(ms(offset)).await;
         let ask = Ask::Cancel { team: TEAM.to_owned(), request: "bond".to_owned() };
-        let cancel = world.ask(owner, ask);
-        world.run(secs(12)).await;
-        world.check(&format!("cancel after {offset} ms"));
-        let names = [bond, cancel].map(|call| name(world.answer(call)));
+        let cancel = cluster.call(owner, ask);
+        cluster.run(secs(12)).await;
+        cluster.check_invariants(&format!("cancel after {offset} ms"));
+        let names = [bond, cancel].map(|call| answer_name(cluster.answer(call)));
         let names = names.map(|name| name.chars().take(24).collect::<String>());
         *tally.entry(names.join(" / ")).or_default() += 1;
     }
@@ -108,54 +110,55 @@
     ");
 }
 
-/// Symptom: a wave of cancellations stops the start of other work. Sequence:
-/// 300 jobs wait or run, all are cancelled at once, urgent work comes. Cause:
-/// cancelling is worse than linear, or holds what it frees.
+/// Mass cancellation delays the start of other work, because its cost grows more
+/// than linearly or freed capacity is held back. 300 queued and running jobs are
+/// cancelled at once, and urgent work is submitted.
 #[actix_rt::test]
-async fn a_wave_of_cancellations_delays_no_start() {
-    let mut world = World::settled(2, 4, 3).await;
-    let (owner, at) = (world.owner().unwrap(), world.follower());
+async fn mass_cancellation_delays_no_start() {
+    let mut cluster = Cluster::ready(2, 4, 3).await;
+    let (owner, entry) = (cluster.owner().unwrap(), cluster.follower());
     for index in 0..300 {
         let request = format!("wave-{index}");
         let base = job(&request, index % 2 == 0, secs(600));
-        world.submit(at, &Job { deadline: secs(3600), ..base });
+        cluster.submit(entry, &Job { deadline: secs(3600), ..base });
     }
-    world.run(secs(3)).await;
+    cluster.run(secs(3)).await;
     let mut cancels = Vec::new();
     for index in 0..300 {
         let request = format!("wave-{index}");
-        cancels.push(world.ask(owner, Ask::Cancel { team: TEAM.to_owned(), request }));
+        cancels.push(cluster.call(owner, Ask::Cancel { team: TEAM.to_owned(), request }));
     }
-    let asked = world.now;
-    world.submit(at, &Job { urgent: true, ..job("urgent", true, ms(10)) });
-    world.run(secs(10)).await;
-    world.check("wave of cancellations");
-    let waited = (world.starts("urgent")[0] - asked).as_millis();
-    let told = cancels.iter().filter(|call| name(world.answer(**call)).starts_with("cancelled"));
-    let told = told.count();
-    insta::assert_snapshot!(format!("{told} told, urgent after {waited} ms"), @r"300 told, urgent after 26 ms");
+    let submitted_at = cluster.now;
+    cluster.submit(entry, &Job { urgent: true, ..job("urgent", true, ms(10)) });
+    cluster.run(secs(10)).await;
+    cluster.check_invariants("mass cancellation");
+    let waited = (cluster.start_times("urgent")[0] - submitted_at).as_millis();
+    let cancelled =
+        cancels.iter().filter(|call| answer_name(cluster.answer(**call)).starts_with("cancelled"));
+    let cancelled = cancelled.count();
+    insta::assert_snapshot!(format!("{cancelled} told, urgent after {waited} ms"), @r"300 told, urgent after 26 ms");
 }
 
-/// Symptom: the same request has two outcomes, or another body under the same
-/// id is taken for it. Sequence: the caller retries at every entry, during and
-/// after the run. Cause: each entry keeps its own idea.
+/// One request gets two outcomes, or another body under the same id is taken for
+/// it, because each entry decides on its own. The client retries at every entry,
+/// during and after the run.
 #[actix_rt::test]
 async fn a_retry_anywhere_gets_the_same_outcome() {
-    let mut world = World::settled(3, 3, 4).await;
+    let mut cluster = Cluster::ready(3, 3, 4).await;
     let mut calls: Vec<u64> =
-        (0..3).map(|at| world.submit(at, &job("bond", false, ms(300)))).collect();
-    world.run(secs(2)).await;
-    calls.extend((0..3).map(|at| world.submit(at, &job("bond", false, ms(300)))));
+        (0..3).map(|entry| cluster.submit(entry, &job("bond", false, ms(300)))).collect();
+    cluster.run(secs(2)).await;
+    calls.extend((0..3).map(|entry| cluster.submit(entry, &job("bond", false, ms(300)))));
     let other = Job { digest: "another body".to_owned(), ..job("bond", false, ms(300)) };
-    let other = world.submit(0, &other);
-    world.run(secs(2)).await;
-    let owner = world.owner().unwrap();
-    world.kill(Who::Entry(owner));
-    let at = world.follower();
-    calls.push(world.submit(at, &Job { first: false, ..job("bond", false, ms(300)) }));
-    world.run(secs(6)).await;
-    world.check("retries");
-    assert_eq!(world.starts("bond").len(), 1);
-    let names: Vec<String> = calls.iter().map(|call| name(world.answer(*call))).collect();
-    insta::assert_snapshot!(format!("{}; {}", names.join(" "), name(world.answer(other))), @r"done done done done done done done; conflict, current 0");
+    let other = cluster.submit(0, &other);
+    cluster.run(secs(2)).await;
+    let owner = cluster.owner().unwrap();
+    cluster.kill(Process::Entry(owner));
+    let entry = cluster.follower();
+    calls.push(cluster.submit(entry, &Job { first: false, ..job("bond", false, ms(300)) }));
+    cluster.run(secs(6)).await;
+    cluster.check_invariants("retries");
+    assert_eq!(cluster.start_times("bond").len(), 1);
+    let names: Vec<String> = calls.iter().map(|call| answer_name(cluster.answer(*call))).collect();
+    insta::assert_snapshot!(format!("{}; {}", names.join(" "), answer_name(cluster.answer(other))), @r"done done done done done done done; conflict, current 0");
 }
--- a/tests/bed/endpoint.rs
+++ b/tests/harness/endpoint.rs
@@ -1,62 +1,64 @@
-//! The endpoints' fake.
+//! Fake endpoints.
 
 use std::time::Duration;
 
 use quincewheel_grant::{self as grant, End};
 use quincewheel_wire::{Attempt, Task};
 
+use super::cluster::{ANY_INCARNATION, Cluster, FRAME_DELAY, Process, Worker};
 use super::delivery::Delivery;
 use super::ms;
-use super::world::{ANY, DELAY, Who, Worker, World};
 
-impl World {
-    /// The endpoint's fake: payloads are the milliseconds that a task takes; a
-    /// leading `x` makes it ignore requests to checkpoint.
-    pub(super) fn run_task(&mut self, at: usize, task: Task) {
+impl Cluster {
+    /// Runs a task at the fake endpoint. The payload is the running time in
+    /// milliseconds; a leading `x` makes the task ignore requests to checkpoint.
+    pub(super) fn run_task(&mut self, index: usize, task: Task) {
         let text = String::from_utf8_lossy(&task.payload).into_owned();
         let work = ms(text.trim_start_matches('x').parse().unwrap_or(0));
-        let end = if self.workers[at].failing || text == "fail" {
+        let end = if self.workers[index].fails_all_tasks || text == "fail" {
             End::Failed("this worker fails everything".to_owned())
         } else {
             let result = format!("result of {}", task.request).into_bytes();
             let digest = digest(&result);
             End::Done { result, object: String::new(), digest }
         };
-        let delay = if self.workers[at].failing { DELAY } else { work + DELAY };
+        let delay =
+            if self.workers[index].fails_all_tasks { FRAME_DELAY } else { work + FRAME_DELAY };
         for (rank, _) in &task.ranks {
-            self.end_task(at, delay, task.attempt, *rank, end.clone());
+            self.end_task(index, delay, task.attempt, *rank, end.clone());
         }
-        self.workers[at].tasks.insert(task.attempt, task);
+        self.workers[index].tasks.insert(task.attempt, task);
     }
 
-    pub(super) fn halt_task(&mut self, at: usize, attempt: Attempt, grace: Duration) {
-        let Some(task) = self.workers[at].tasks.get(&attempt).cloned() else { return };
+    pub(super) fn stop_task(&mut self, index: usize, attempt: Attempt, grace: Duration) {
+        let Some(task) = self.workers[index].tasks.get(&attempt).cloned() else { return };
         if !grace.is_zero() && task.payload.first() == Some(&b'x') {
             return;
         }
         for (rank, _) in &task.ranks {
-            self.end_task(at, ms(20), attempt, *rank, End::Stopped);
+            self.end_task(index, ms(20), attempt, *rank, End::Stopped);
         }
     }
 
-    /// Tells whatever agent runs there by then.
+    /// Schedules the end of a rank. It is delivered to whichever incarnation of
+    /// the agent runs at that time.
     pub(super) fn end_task(
         &mut self,
-        at: usize,
+        index: usize,
         delay: Duration,
         attempt: Attempt,
         rank: u32,
         end: End,
     ) {
         let input = grant::Input::Endpoint { attempt, rank, end };
-        self.push(delay, Who::Agent(at), Delivery::Agent(input), None);
-        if let Some(pending) = self.queue.get_mut(&(self.now + delay, self.next)) {
-            pending.incarnation = ANY;
+        self.push(delay, Process::Agent(index), Delivery::Agent(input), None);
+        if let Some(pending) = self.queue.get_mut(&(self.now + delay, self.next_id)) {
+            pending.incarnation = ANY_INCARNATION;
         }
     }
 }
 
-pub(super) fn grantor_handle(
+pub(super) fn pass_to_grantor(
     worker: &mut Worker,
     now: Duration,
     input: grant::Input,
@@ -64,7 +66,7 @@
     if let grant::Input::Endpoint { attempt, rank, .. } = &input
         && let Some(task) = worker.tasks.get_mut(attempt)
     {
-        // A rank ends once, however often the fake says so.
+        // The fake may schedule several ends for a rank; only the first counts.
         if !task.ranks.iter().any(|(r, _)| r == rank) {
             return Vec::new();
         }
--- a/tests/bed/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,15 +1,15 @@
-//! Entries, agents and endpoints of one test, joined by fakes at their
-//! interfaces: links, a table and endpoints, all under the runtime's paused
-//! clock. Not a simulator of a cluster: it has no model of load or of
-//! hardware, only what is needed to bring failures about one by one.
+//! A test harness that runs entries and agents in one process, on fake
+//! connections, a fake table and fake endpoints, under the runtime's paused
+//! clock. It injects failures one at a time; it models neither load nor
+//! hardware.
 
 mod chaos;
+mod cluster;
 mod delivery;
 mod endpoint;
 mod links;
-mod table;
-mod views;
-mod world;
+mod queries;
+mod table_state;
 
 use std::time::Duration;
 
@@ -17,14 +17,15 @@
 use quincewheel_wire::{Answer, Job, Outcome, Refusal};
 
 pub use chaos::Chaos;
-pub use table::Table;
-pub use world::{Who, World, put_guarantee, put_team};
+pub use cluster::{Cluster, Process, put_guarantee, put_team};
+pub use table_state::TableState;
 
 pub const TEAM: &str = "banco";
 pub const OTHER: &str = "cooperativa";
 
-/// How long a gang may be partial at its start and end, as stated in
-/// docs/PROOFS.md: the gang's silence, a beat, and the hard stop.
+/// How long a gang may run with only some of its members at its start and end,
+/// as stated in docs/PROOFS.md: the gang timeout, one heartbeat interval and
+/// the hard stop.
 pub const GANG_BOUND: Duration = Duration::from_secs(6);
 
 pub fn secs(s: u64) -> Duration {
@@ -35,7 +36,7 @@
     Duration::from_millis(ms)
 }
 
-/// A job of one task that takes `work` at its endpoint.
+/// Returns a job of one task that runs for `work` at its endpoint.
 pub fn job(request: &str, idempotent: bool, work: Duration) -> Job {
     Job {
         team: TEAM.to_owned(),
@@ -53,7 +54,7 @@
     }
 }
 
-/// The same job as a gang of whole workers.
+/// Returns the job of [`job`] as a gang that takes `workers` whole workers.
 pub fn gang(request: &str, idempotent: bool, work: Duration, workers: u32) -> Job {
     let shape = Shape::new(workers, 8, Adjacency::Any);
     Job { shape, ..job(request, idempotent, work) }
@@ -63,8 +64,8 @@
     Share { shape, count }
 }
 
-/// A short name for an answer, for snapshots.
-pub fn name(answer: Option<&Answer>) -> String {
+/// Returns a short name for an answer, for use in snapshots.
+pub fn answer_name(answer: Option<&Answer>) -> String {
     match answer {
         None => "none".to_owned(),
         Some(Answer::Job { outcome, .. }) => outcome.name().to_owned(),
@@ -78,6 +79,6 @@
     }
 }
 
-pub fn not_run(answer: Option<&Answer>) -> bool {
+pub fn is_not_run(answer: Option<&Answer>) -> bool {
     matches!(answer, Some(Answer::Job { outcome: Outcome::NotRun { .. }, .. }))
 }
--- a/tests/regression.rs
+++ b/tests/regression.rs
@@ -1,132 +1,129 @@
-//! Faults that seeded schedules found, each as the shortest sequence that shows
-//! it. The seeds themselves shift whenever timing changes.
+//! Faults that the seeded schedules found, each as the shortest sequence that
+//! shows it. The seeds themselves don't repeat a fault once timing changes.
 
 use quincewheel_wire::{Ask, Job};
 
-use crate::bed::{TEAM, Table, Who, World, job, ms, name, not_run, secs};
+use crate::harness::{Cluster, Process, TEAM, TableState, answer_name, is_not_run, job, ms, secs};
 
 fn retry(job: &Job) -> Job {
     Job { first: false, ..job.clone() }
 }
 
-fn cancel(request: &str) -> Ask {
+fn cancel_call(request: &str) -> Ask {
     Ask::Cancel { team: TEAM.to_owned(), request: request.to_owned() }
 }
 
-/// Symptom: a bond runs after its caller was told that it did not. Sequence: it
-/// is refused in an outage, and the frame that carried it comes a second time
-/// when the table is back. Cause: the copy is taken for a new try.
+/// A job runs after its client got "not run". It is refused in an outage of the
+/// table, and a duplicate of the call's frame arrives after the outage and is
+/// taken for a new attempt.
 #[actix_rt::test]
-async fn a_doubled_call_is_not_a_new_try() {
-    let mut world = World::settled(2, 2, 1).await;
-    let at = world.follower();
-    world.table = Table::Down;
-    world.run(secs(3)).await;
-    world.twice.insert("ask", secs(15));
-    let call = world.submit(at, &job("bond", false, ms(5)));
-    world.run(secs(1)).await;
-    assert!(not_run(world.answer(call)));
-    world.table = Table::Up;
-    world.run(secs(30)).await;
-    world.check("doubled call");
-    assert!(world.starts("bond").is_empty());
+async fn a_duplicated_call_is_not_a_new_attempt() {
+    let mut cluster = Cluster::ready(2, 2, 1).await;
+    let entry = cluster.follower();
+    cluster.table = TableState::Down;
+    cluster.run(secs(3)).await;
+    cluster.duplicated_frames.insert("ask", secs(15));
+    let call = cluster.submit(entry, &job("bond", false, ms(5)));
+    cluster.run(secs(1)).await;
+    assert!(is_not_run(cluster.answer(call)));
+    cluster.table = TableState::Up;
+    cluster.run(secs(30)).await;
+    cluster.check_invariants("doubled call");
+    assert!(cluster.start_times("bond").is_empty());
 }
 
-/// Symptom: a caller reads "not run" while the bond is being issued. Sequence:
-/// its first try is refused in an outage, the refusal is slow to arrive; it
-/// tries again elsewhere when the table is back. Cause: the second try overtakes
-/// the refusal of the first.
+/// A client gets "not run" while its job runs. The first call is refused in an
+/// outage and the refusal is delayed; a retry at another entry after the outage
+/// overtakes it.
 #[actix_rt::test]
-async fn a_refusal_is_not_overtaken_by_a_second_try() {
-    let mut world = World::settled(3, 2, 2).await;
-    let owner = world.owner().unwrap();
-    let others: Vec<usize> = (0..3).filter(|at| *at != owner).collect();
-    world.table = Table::Down;
-    world.run(secs(3)).await;
-    world.late.insert("answer", ms(900));
+async fn a_refusal_is_not_overtaken_by_a_retry() {
+    let mut cluster = Cluster::ready(3, 2, 2).await;
+    let owner = cluster.owner().unwrap();
+    let others: Vec<usize> = (0..3).filter(|entry| *entry != owner).collect();
+    cluster.table = TableState::Down;
+    cluster.run(secs(3)).await;
+    cluster.delayed_frames.insert("answer", ms(900));
     let bond = job("bond", false, ms(5));
-    let first = world.submit(others[0], &bond);
-    world.run(ms(10)).await;
-    world.table = Table::Up;
-    world.run(ms(700)).await;
-    world.late.clear();
-    let second = world.submit(others[1], &retry(&bond));
-    world.run(secs(20)).await;
-    world.check("overtaken refusal");
-    assert!(not_run(world.answer(first)), "{}", name(world.answer(first)));
-    assert!(not_run(world.answer(second)), "{}", name(world.answer(second)));
+    let first = cluster.submit(others[0], &bond);
+    cluster.run(ms(10)).await;
+    cluster.table = TableState::Up;
+    cluster.run(ms(700)).await;
+    cluster.delayed_frames.clear();
+    let second = cluster.submit(others[1], &retry(&bond));
+    cluster.run(secs(20)).await;
+    cluster.check_invariants("overtaken refusal");
+    assert!(is_not_run(cluster.answer(first)), "{}", answer_name(cluster.answer(first)));
+    assert!(is_not_run(cluster.answer(second)), "{}", answer_name(cluster.answer(second)));
 }
 
-/// Symptom: a refused bond runs when the table is back. Sequence: its members do
-/// not answer, so that it goes back to the queue in an outage; there it is
-/// refused. Cause: what waits for the table is put back without a look at what
-/// became of it.
+/// A refused job runs after the outage. Its members don't answer, so it returns
+/// to the queue in the outage and is refused there; then work that waits for the
+/// table is queued again without a check of its current state.
 #[actix_rt::test]
 async fn what_was_refused_in_an_outage_stays_refused() {
-    let mut world = World::settled(2, 2, 3).await;
-    let at = world.follower();
-    world.lost.insert("prepared");
-    let call = world.submit(at, &job("bond", false, ms(5)));
-    world.run(ms(5)).await;
-    world.table = Table::Down;
-    world.run(secs(6)).await;
-    let refused = not_run(world.answer(call));
-    world.lost.clear();
-    world.table = Table::Up;
-    world.run(secs(20)).await;
-    world.check("refused in an outage");
-    assert!(refused && world.starts("bond").is_empty());
+    let mut cluster = Cluster::ready(2, 2, 3).await;
+    let entry = cluster.follower();
+    cluster.dropped_frames.insert("prepared");
+    let call = cluster.submit(entry, &job("bond", false, ms(5)));
+    cluster.run(ms(5)).await;
+    cluster.table = TableState::Down;
+    cluster.run(secs(6)).await;
+    let refused = is_not_run(cluster.answer(call));
+    cluster.dropped_frames.clear();
+    cluster.table = TableState::Up;
+    cluster.run(secs(20)).await;
+    cluster.check_invariants("refused in an outage");
+    assert!(refused && cluster.start_times("bond").is_empty());
 }
 
-/// Symptom: a bond that was cancelled is issued. Sequence: it was promised and
-/// waits; it is cancelled in an outage; the owner dies before it could write
-/// that down. Cause: the cancellation is told before it is recorded, and the
-/// next owner reads "queued".
+/// A cancelled job runs. It was accepted and waits; it is cancelled in an outage
+/// and the owner dies before it records that. The cancellation was reported
+/// before its record, and the next owner reads "queued".
 #[actix_rt::test]
-async fn a_cancellation_in_an_outage_is_not_told_before_its_record() {
-    let mut world = World::settled(3, 1, 4).await;
-    let (owner, at) = (world.owner().unwrap(), world.follower());
+async fn a_cancellation_in_an_outage_is_not_reported_before_it_is_recorded() {
+    let mut cluster = Cluster::ready(3, 1, 4).await;
+    let (owner, entry) = (cluster.owner().unwrap(), cluster.follower());
     for index in 0..8 {
-        world.submit(at, &job(&format!("screen-{index}"), true, secs(20)));
+        cluster.submit(entry, &job(&format!("screen-{index}"), true, secs(20)));
     }
     let promised = Job { wait: false, first: false, ..job("bond", false, ms(5)) };
-    let call = world.submit(at, &promised);
-    world.run(secs(1)).await;
-    assert_eq!(name(world.answer(call)), "queued");
-    world.table = Table::Down;
-    world.run(secs(3)).await;
-    let told = world.ask(owner, cancel("bond"));
-    world.run(secs(2)).await;
-    let told = name(world.answer(told));
-    world.kill(Who::Entry(owner));
-    world.table = Table::Up;
-    world.run(secs(40)).await;
-    world.check("cancelled in an outage");
-    let again = world.submit(at, &promised);
-    world.run(secs(2)).await;
-    insta::assert_snapshot!(format!("told {told}, later {}", name(world.answer(again))), @r"told none, later done");
+    let call = cluster.submit(entry, &promised);
+    cluster.run(secs(1)).await;
+    assert_eq!(answer_name(cluster.answer(call)), "queued");
+    cluster.table = TableState::Down;
+    cluster.run(secs(3)).await;
+    let cancellation = cluster.call(owner, cancel_call("bond"));
+    cluster.run(secs(2)).await;
+    let cancellation = answer_name(cluster.answer(cancellation));
+    cluster.kill(Process::Entry(owner));
+    cluster.table = TableState::Up;
+    cluster.run(secs(40)).await;
+    cluster.check_invariants("cancelled in an outage");
+    let again = cluster.submit(entry, &promised);
+    cluster.run(secs(2)).await;
+    insta::assert_snapshot!(format!("told {cancellation}, later {}", answer_name(cluster.answer(again))), @r"told none, later done");
 }
 
-/// Symptom: a caller reads "not run" at an entry whose ownership is over, about
-/// a bond that its next owner issued. Sequence: the owner is cut off from all
-/// and from the table; another takes over and runs the bond; the caller tries
-/// again at the first. Cause: an owner that was replaced need not notice.
+/// A client gets "not run" from a former owner about a job that the next owner
+/// ran. The owner is partitioned from all others and from the table; another
+/// takes over and runs the job; the client retries at the first, which may not
+/// have noticed that it was replaced.
 #[actix_rt::test]
-async fn a_replaced_owner_denies_nothing() {
+async fn a_replaced_owner_never_answers_not_run() {
     let mut lines = Vec::new();
     for wait in [0, 500, 1200, 5000, 30_000] {
-        let mut world = World::settled(3, 3, 5).await;
-        let (old, at) = (world.owner().unwrap(), world.follower());
-        world.isolate(Who::Entry(old));
-        world.run(secs(5)).await;
+        let mut cluster = Cluster::ready(3, 3, 5).await;
+        let (old, entry) = (cluster.owner().unwrap(), cluster.follower());
+        cluster.isolate(Process::Entry(old));
+        cluster.run(secs(5)).await;
         let bond = job("bond", false, ms(5));
-        let done = world.submit(at, &retry(&bond));
-        world.run(ms(wait)).await;
-        let denied = world.submit(old, &retry(&bond));
-        let get = world.ask(old, Ask::Get { team: TEAM.to_owned(), request: "bond".to_owned() });
-        world.run(secs(20)).await;
-        world.check(&format!("asked after {wait} ms"));
-        let names = [done, denied, get].map(|call| name(world.answer(call)));
+        let done = cluster.submit(entry, &retry(&bond));
+        cluster.run(ms(wait)).await;
+        let denied = cluster.submit(old, &retry(&bond));
+        let get = cluster.call(old, Ask::Get { team: TEAM.to_owned(), request: "bond".to_owned() });
+        cluster.run(secs(20)).await;
+        cluster.check_invariants(&format!("asked after {wait} ms"));
+        let names = [done, denied, get].map(|call| answer_name(cluster.answer(call)));
         lines.push(format!("after {wait} ms: {}", names.join(", ")));
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
@@ -138,41 +135,41 @@
     ");
 }
 
-/// Symptom: "cancelled, not run" about a job that ran. Sequence: it failed once,
-/// waits for another worker and is cancelled. Cause: whether it ran is judged by
-/// its place in the queue.
+/// "Cancelled, not run" is reported about a job that ran. It failed once, waits
+/// for another worker and is cancelled; being queued was taken as proof that it
+/// had not run.
 #[actix_rt::test]
-async fn a_cancelled_job_that_had_run_is_told_so() {
-    let mut world = World::settled(2, 1, 6).await;
-    let at = world.owner().unwrap();
-    world.fail_all(0);
-    let screen = world.submit(at, &job("screen", true, ms(5)));
-    world.run(secs(1)).await;
-    let told = world.ask(at, cancel("screen"));
-    world.run(secs(1)).await;
-    world.check("cancelled after a failure");
-    let names = [screen, told].map(|call| name(world.answer(call)));
+async fn a_cancelled_job_that_had_run_is_reported_as_stopped() {
+    let mut cluster = Cluster::ready(2, 1, 6).await;
+    let entry = cluster.owner().unwrap();
+    cluster.fail_all_tasks(0);
+    let screen = cluster.submit(entry, &job("screen", true, ms(5)));
+    cluster.run(secs(1)).await;
+    let cancellation = cluster.call(entry, cancel_call("screen"));
+    cluster.run(secs(1)).await;
+    cluster.check_invariants("cancelled after a failure");
+    let names = [screen, cancellation].map(|call| answer_name(cluster.answer(call)));
     insta::assert_snapshot!(names.join(" "), @r"cancelled_stopped cancelled_stopped");
 }
 
-/// Symptom: "not run" about idempotent work that ran. Sequence: it runs under an
-/// owner that dies; its agent does not reach the next one; the caller tries
-/// again, and its deadline passes. Cause: such work leaves no record.
+/// "Not run" is answered about idempotent work that ran. It runs under an owner
+/// that dies, and its agent does not reach the next owner; the client retries
+/// and the deadline passes. Such work has no row in the table.
 #[actix_rt::test]
-async fn nothing_is_denied_about_work_without_a_record() {
-    let mut world = World::settled(3, 1, 7).await;
-    let owner = world.owner().unwrap();
-    let others: Vec<usize> = (0..3).filter(|at| *at != owner).collect();
-    world.submit(owner, &job("screen", true, secs(2)));
-    world.run(ms(500)).await;
+async fn unrecorded_work_is_never_answered_not_run() {
+    let mut cluster = Cluster::ready(3, 1, 7).await;
+    let owner = cluster.owner().unwrap();
+    let others: Vec<usize> = (0..3).filter(|entry| *entry != owner).collect();
+    cluster.submit(owner, &job("screen", true, secs(2)));
+    cluster.run(ms(500)).await;
     for entry in &others {
-        world.cut(Who::Entry(*entry), Who::Agent(0));
+        cluster.partition(Process::Entry(*entry), Process::Agent(0));
     }
-    world.kill(Who::Entry(owner));
-    world.run(secs(5)).await;
+    cluster.kill(Process::Entry(owner));
+    cluster.run(secs(5)).await;
     let again = Job { deadline: secs(1), ..retry(&job("screen", true, secs(2))) };
-    let again = world.submit(others[0], &again);
-    world.run(secs(5)).await;
-    world.check("no record");
-    insta::assert_snapshot!(name(world.answer(again)), @r"unavailable");
+    let again = cluster.submit(others[0], &again);
+    cluster.run(secs(5)).await;
+    cluster.check_invariants("no record");
+    insta::assert_snapshot!(answer_name(cluster.answer(again)), @r"unavailable");
 }
--- a/tests/tests.rs
+++ b/tests/tests.rs
@@ -1,6 +1,6 @@
-//! Tests that span several crates, by what they are about.
+//! Tests that span several crates, one module per subject.
 
-mod bed;
+mod harness;
 
 mod chaos;
 mod checker;
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -1,67 +1,67 @@
-//! Agents, endpoints and gangs: loss, freeze, cuts, leaving, replacement.
+//! Agents, endpoints and gangs: loss, freeze, partitions, shutdown, replacement.
 
 use quincewheel_wire::{Ask, Job};
 
-use crate::bed::{TEAM, Who, World, gang, job, ms, name, secs};
+use crate::harness::{Cluster, Process, TEAM, answer_name, gang, job, ms, secs};
 
-/// Symptom: a bond is issued again on another worker. Sequence: its agent is
-/// frozen past every timeout, then wakes up with the result. Cause: silence is
-/// taken for proof that the work did not happen.
+/// A non-idempotent job runs again on another worker, because an unresponsive
+/// agent is taken for proof that the job did not run. Its agent is frozen past
+/// every timeout, then resumes with the result.
 #[actix_rt::test]
-async fn an_agent_that_wakes_up_brings_its_result() {
-    let mut world = World::settled(2, 3, 1).await;
-    let at = world.follower();
-    let bond = world.submit(at, &job("bond", false, secs(3)));
-    let screen = world.submit(at, &job("screen", true, secs(3)));
-    world.run(secs(1)).await;
+async fn a_thawed_agent_reports_its_result() {
+    let mut cluster = Cluster::ready(2, 3, 1).await;
+    let entry = cluster.follower();
+    let bond = cluster.submit(entry, &job("bond", false, secs(3)));
+    let screen = cluster.submit(entry, &job("screen", true, secs(3)));
+    cluster.run(secs(1)).await;
     for agent in 0..3 {
-        if world.grantor(agent).granted() != 0 {
-            world.freeze(Who::Agent(agent));
+        if cluster.grantor(agent).granted() != 0 {
+            cluster.freeze(Process::Agent(agent));
         }
     }
-    world.run(secs(20)).await;
-    let during = [bond, screen].map(|call| name(world.answer(call)));
+    cluster.run(secs(20)).await;
+    let during = [bond, screen].map(|call| answer_name(cluster.answer(call)));
     for agent in 0..3 {
-        world.thaw(Who::Agent(agent));
+        cluster.thaw(Process::Agent(agent));
     }
-    world.run(secs(10)).await;
+    cluster.run(secs(10)).await;
     let get = Ask::Get { team: TEAM.to_owned(), request: "bond".to_owned() };
-    let after = world.ask(at, get);
-    world.run(secs(1)).await;
-    world.check("frozen agent");
-    let after = name(world.answer(after));
+    let after = cluster.call(entry, get);
+    cluster.run(secs(1)).await;
+    cluster.check_invariants("frozen agent");
+    let after = answer_name(cluster.answer(after));
     insta::assert_snapshot!(format!("{during:?}, after waking {after}"), @r#"["unknown", "done"], after waking done"#);
 }
 
-/// Symptom: some members of a gang go on alone. Sequence: a member, or the
-/// first one, is lost with its worker, or cut off from the others while the
-/// owner reaches all. Cause: only the owner watches, or nobody.
+/// Some members of a gang go on alone after another was lost with its worker, or
+/// partitioned from the others while the owner reaches all: only the owner
+/// monitors the members, or no process does.
 #[actix_rt::test]
-async fn a_gang_that_is_not_whole_ends() {
+async fn an_incomplete_gang_is_stopped() {
     let mut lines = Vec::new();
-    for (what, cut) in [("lost", false), ("cut off", true)] {
+    for (what, partitioned) in [("lost", false), ("cut off", true)] {
         for member in 0..3 {
             for owner_too in [false, true] {
-                let mut world = World::settled(2, 3, 2).await;
-                let (owner, at) = (world.owner().unwrap(), world.follower());
-                let call = world.submit(at, &gang("gang", false, secs(60), 3));
-                world.run(secs(2)).await;
-                let hit = world.now;
-                if cut {
+                let mut cluster = Cluster::ready(2, 3, 2).await;
+                let (owner, entry) = (cluster.owner().unwrap(), cluster.follower());
+                let call = cluster.submit(entry, &gang("gang", false, secs(60), 3));
+                cluster.run(secs(2)).await;
+                let hit = cluster.now;
+                if partitioned {
                     for other in (0..3).filter(|other| *other != member) {
-                        world.cut(Who::Agent(member), Who::Agent(other));
+                        cluster.partition(Process::Agent(member), Process::Agent(other));
                     }
                 } else {
-                    world.vanish(member);
+                    cluster.remove_worker(member);
                 }
                 if owner_too {
-                    world.kill(Who::Entry(owner));
+                    cluster.kill(Process::Entry(owner));
                 }
-                world.run(secs(30)).await;
-                world.check(&format!("{what} {member}, owner too: {owner_too}"));
-                let end = world.last_stop("gang").expect("all parts ended");
+                cluster.run(secs(30)).await;
+                cluster.check_invariants(&format!("{what} {member}, owner too: {owner_too}"));
+                let end = cluster.last_stop("gang").expect("all parts ended");
                 let took = (end - hit).as_millis();
-                let answer = name(world.answer(call));
+                let answer = answer_name(cluster.answer(call));
                 lines.push(format!("{what} {member}, owner {owner_too}: {took} ms, {answer}"));
             }
         }
@@ -82,30 +82,33 @@
     ");
 }
 
-/// Symptom: an agent that only one direction reaches keeps accelerators and
-/// answers for ever. Sequence: frames from agent to owner are lost, or from
-/// owner to agent, or the owner and two agents part. Cause: a connection that
-/// is open is taken for one that works.
+/// An agent behind a one-way partition holds accelerators and answers forever,
+/// because an open connection is taken for a working one. Frames are lost from
+/// agent to owner, from owner to agent, or both ways with two agents.
 #[actix_rt::test]
-async fn cuts_between_owner_and_agents_end_and_heal() {
+async fn partitions_between_owner_and_agents_heal() {
     let mut lines = Vec::new();
     for what in ["agent to owner", "owner to agent", "both, two agents"] {
-        let mut world = World::settled(2, 3, 3).await;
-        let owner = Who::Entry(world.owner().unwrap());
-        let at = world.follower();
-        let bond = world.submit(at, &job("bond", false, secs(2)));
-        world.run(ms(500)).await;
+        let mut cluster = Cluster::ready(2, 3, 3).await;
+        let owner = Process::Entry(cluster.owner().unwrap());
+        let entry = cluster.follower();
+        let bond = cluster.submit(entry, &job("bond", false, secs(2)));
+        cluster.run(ms(500)).await;
         match what {
-            "agent to owner" => world.cuts.extend((0..3).map(|a| (Who::Agent(a), owner))),
-            "owner to agent" => world.cuts.extend((0..3).map(|a| (owner, Who::Agent(a)))),
-            _ => (0..2).for_each(|agent| world.cut(owner, Who::Agent(agent))),
+            "agent to owner" => {
+                cluster.partitions.extend((0..3).map(|a| (Process::Agent(a), owner)))
+            }
+            "owner to agent" => {
+                cluster.partitions.extend((0..3).map(|a| (owner, Process::Agent(a))))
+            }
+            _ => (0..2).for_each(|agent| cluster.partition(owner, Process::Agent(agent))),
         }
-        let later = world.submit(at, &job("later", true, ms(50)));
-        world.run(secs(6)).await;
-        world.cuts.clear();
-        world.run(secs(15)).await;
-        world.check(what);
-        let names = [bond, later].map(|call| name(world.answer(call)));
+        let later = cluster.submit(entry, &job("later", true, ms(50)));
+        cluster.run(secs(6)).await;
+        cluster.partitions.clear();
+        cluster.run(secs(15)).await;
+        cluster.check_invariants(what);
+        let names = [bond, later].map(|call| answer_name(cluster.answer(call)));
         lines.push(format!("{what}: {}", names.join(" ")));
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
@@ -115,35 +118,35 @@
     ");
 }
 
-/// Symptom: two owners take turns, or callers of a cut-off entry hang. Sequence:
-/// an entry is cut off from the owner, while all reach the table and the
-/// agents. Cause: a broken link is taken for a dead owner.
+/// Two owners depose each other in turn, or clients of the partitioned entry hang,
+/// because a broken connection is taken for a dead owner. One entry is
+/// partitioned from the owner, while all reach the table and the agents.
 #[actix_rt::test]
 async fn an_entry_cut_off_from_the_owner_refuses_and_does_not_take_over() {
-    let mut world = World::settled(2, 3, 4).await;
-    let (owner, at) = (world.owner().unwrap(), world.follower());
-    world.cut(Who::Entry(owner), Who::Entry(at));
-    let asked = world.now;
-    let call = world.submit(at, &job("bond", false, ms(5)));
-    world.run(secs(60)).await;
-    let waited = world.answered_at(call).unwrap() - asked;
-    assert_eq!(world.owner(), Some(owner));
-    world.cuts.clear();
-    world.run(secs(5)).await;
-    let retry = world.submit(at, &Job { first: false, ..job("bond", false, ms(5)) });
-    world.run(secs(5)).await;
-    world.check("entry cut off");
-    let names = [call, retry].map(|call| name(world.answer(call)));
+    let mut cluster = Cluster::ready(2, 3, 4).await;
+    let (owner, entry) = (cluster.owner().unwrap(), cluster.follower());
+    cluster.partition(Process::Entry(owner), Process::Entry(entry));
+    let submitted_at = cluster.now;
+    let call = cluster.submit(entry, &job("bond", false, ms(5)));
+    cluster.run(secs(60)).await;
+    let waited = cluster.answered_at(call).unwrap() - submitted_at;
+    assert_eq!(cluster.owner(), Some(owner));
+    cluster.partitions.clear();
+    cluster.run(secs(5)).await;
+    let retry = cluster.submit(entry, &Job { first: false, ..job("bond", false, ms(5)) });
+    cluster.run(secs(5)).await;
+    cluster.check_invariants("entry cut off");
+    let names = [call, retry].map(|call| answer_name(cluster.answer(call)));
     insta::assert_snapshot!(format!("{names:?}, first after {waited:?}"), @r#"["unavailable", "done"], first after 8.1s"#);
 }
 
-/// Symptom: jobs are lost, doubled or stuck. Sequence: half of all frames are
-/// late by up to 400 ms or come twice, so that they overtake each other. Cause:
-/// the protocol leans on order.
+/// Jobs are lost, run twice or hang if the protocol depends on the order of
+/// frames. Half of all frames are delayed by up to 400 ms or duplicated, so that
+/// they overtake each other.
 #[actix_rt::test]
-async fn late_doubled_and_reordered_frames_do_no_harm() {
-    let mut world = World::settled(2, 4, 5).await;
-    world.mess = 50;
+async fn delayed_duplicated_and_reordered_frames_lose_no_job() {
+    let mut cluster = Cluster::ready(2, 4, 5).await;
+    cluster.disorder_percent = 50;
     let mut calls = Vec::new();
     for index in 0..60 {
         let request = format!("job-{index}");
@@ -152,42 +155,43 @@
         } else {
             job(&request, index % 2 == 0, ms(100))
         };
-        calls.push(world.submit(index % 2, &work));
-        world.run(ms(100)).await;
+        calls.push(cluster.submit(index % 2, &work));
+        cluster.run(ms(100)).await;
     }
-    world.run(secs(40)).await;
-    world.check("messy frames");
-    let done = calls.iter().filter(|call| name(world.answer(**call)) == "done").count();
+    cluster.run(secs(40)).await;
+    cluster.check_invariants("disordered frames");
+    let done = calls.iter().filter(|call| answer_name(cluster.answer(**call)) == "done").count();
     insta::assert_snapshot!(format!("{done} of {} done", calls.len()), @r"60 of 60 done");
 }
 
-/// Symptom: an endpoint that said it leaves is given new work. Sequence: the
-/// message is lost on its way to the owner, which goes on routing there. Cause:
-/// only the router knows who is leaving.
+/// A leaving endpoint gets new work: its notice of leaving is lost on the way to
+/// the owner, which keeps placing work there, and the agent itself does not
+/// refuse it.
 #[actix_rt::test]
 async fn a_leaving_endpoint_gets_no_new_work() {
     let mut lines = Vec::new();
     for lost in [false, true] {
-        let mut world = World::settled(2, 2, 6).await;
-        let at = world.follower();
+        let mut cluster = Cluster::ready(2, 2, 6).await;
+        let entry = cluster.follower();
         if lost {
-            world.lost.insert("leaving");
+            cluster.dropped_frames.insert("leaving");
         }
-        let busy = world.submit(at, &job("busy", false, secs(5)));
-        world.run(secs(1)).await;
-        let leaver = (0..2).find(|agent| world.grantor(*agent).granted() != 0).unwrap();
-        world.leave(leaver);
-        let left = world.now;
+        let busy = cluster.submit(entry, &job("busy", false, secs(5)));
+        cluster.run(secs(1)).await;
+        let leaver = (0..2).find(|agent| cluster.grantor(*agent).granted() != 0).unwrap();
+        cluster.announce_leaving(leaver);
+        let left = cluster.now;
         let mut calls = Vec::new();
         for index in 0..30 {
-            calls.push(world.submit(at, &job(&format!("job-{index}"), false, ms(50))));
-            world.run(ms(100)).await;
+            calls.push(cluster.submit(entry, &job(&format!("job-{index}"), false, ms(50))));
+            cluster.run(ms(100)).await;
         }
-        world.run(secs(10)).await;
-        world.check("leaving");
-        let late = world.starts_at(leaver, left + ms(2)).len();
-        let done = calls.iter().filter(|call| name(world.answer(**call)) == "done").count();
-        let busy = name(world.answer(busy));
+        cluster.run(secs(10)).await;
+        cluster.check_invariants("leaving");
+        let late = cluster.start_times_at(leaver, left + ms(2)).len();
+        let done =
+            calls.iter().filter(|call| answer_name(cluster.answer(**call)) == "done").count();
+        let busy = answer_name(cluster.answer(busy));
         lines.push(format!(
             "message lost {lost}: {late} starts there after 2 ms, running work {busy}, {done} done"
         ));
@@ -198,127 +202,131 @@
     ");
 }
 
-/// Symptom: work that runs is cut off by a shutdown. Sequence: SIGTERM of every
-/// agent in turn, under load. Cause: the agent leaves before its work, or before
-/// the result is recorded.
+/// A shutdown aborts running work: the agent exits before its work has ended, or
+/// before the result is recorded. Every agent gets SIGTERM in turn, under load.
 #[actix_rt::test]
 async fn draining_agents_cuts_off_no_work() {
-    let mut world = World::settled(2, 3, 7).await;
-    let at = world.follower();
+    let mut cluster = Cluster::ready(2, 3, 7).await;
+    let entry = cluster.follower();
     let mut calls = Vec::new();
     for agent in 0..3 {
         for index in 0..12 {
             let request = format!("{agent}-{index}");
-            calls.push(world.submit(at, &job(&request, index % 2 == 0, ms(400 * index))));
+            calls.push(cluster.submit(entry, &job(&request, index % 2 == 0, ms(400 * index))));
         }
-        world.run(ms(300)).await;
-        world.drain(Who::Agent(agent));
-        world.run(ms(2)).await;
-        let began = world.now;
-        while !world.grantor(agent).empty() {
-            world.run(ms(10)).await;
-            assert!(world.now - began < secs(10), "agent {agent}: the drain does not end");
+        cluster.run(ms(300)).await;
+        cluster.drain(Process::Agent(agent));
+        cluster.run(ms(2)).await;
+        let drain_started_at = cluster.now;
+        while !cluster.grantor(agent).empty() {
+            cluster.run(ms(10)).await;
+            assert!(
+                cluster.now - drain_started_at < secs(10),
+                "agent {agent}: the drain does not end"
+            );
         }
-        // Its slot is taken away with the endpoint.
-        world.vanish(agent);
-        world.start(Who::Agent(agent));
-        world.run(secs(2)).await;
+        // The worker is removed together with its endpoint.
+        cluster.remove_worker(agent);
+        cluster.start(Process::Agent(agent));
+        cluster.run(secs(2)).await;
     }
-    world.run(secs(10)).await;
-    world.check("drains of agents");
+    cluster.run(secs(10)).await;
+    cluster.check_invariants("drains of agents");
     for call in calls {
-        assert_eq!(name(world.answer(call)), "done");
+        assert_eq!(answer_name(cluster.answer(call)), "done");
     }
 }
 
-/// Symptom: an agent that comes back with an empty memory runs a bond again, or
-/// calls are lost. Sequence: every instance is replaced, one by one and a rack
-/// at once, under load. Cause: what was promised was kept in one memory only.
+/// An agent that restarts without state runs a job again, or calls are lost,
+/// because an accepted job was held in the memory of one process only. Every
+/// instance is replaced under load, one at a time and a whole rack at once.
 #[actix_rt::test]
 async fn all_instances_are_replaced_under_load() {
-    let mut world = World::settled(3, 6, 8).await;
+    let mut cluster = Cluster::ready(3, 6, 8).await;
     let mut calls = Vec::new();
-    let mut replaced: Vec<Vec<Who>> = (0..6).map(|agent| vec![Who::Agent(agent)]).collect();
-    replaced.push((0..3).map(Who::Agent).collect());
-    replaced.extend((0..3).map(|entry| vec![Who::Entry(entry)]));
+    let mut replaced: Vec<Vec<Process>> = (0..6).map(|agent| vec![Process::Agent(agent)]).collect();
+    replaced.push((0..3).map(Process::Agent).collect());
+    replaced.extend((0..3).map(|entry| vec![Process::Entry(entry)]));
     for (round, instances) in replaced.iter().enumerate() {
         for index in 0..8 {
-            let at = (0..3).find(|at| !instances.contains(&Who::Entry(*at))).unwrap();
+            let entry = (0..3).find(|entry| !instances.contains(&Process::Entry(*entry))).unwrap();
             let request = format!("{round}-{index}");
             let work = job(&request, index % 2 == 0, ms(250 * index));
-            calls.push((world.submit(at, &work), index % 2 == 0));
+            calls.push((cluster.submit(entry, &work), index % 2 == 0));
         }
-        world.run(ms(600)).await;
-        for who in instances {
-            match who {
-                Who::Agent(agent) => world.vanish(*agent),
-                Who::Entry(_) => world.kill(*who),
+        cluster.run(ms(600)).await;
+        for process in instances {
+            match process {
+                Process::Agent(agent) => cluster.remove_worker(*agent),
+                Process::Entry(_) => cluster.kill(*process),
             }
         }
-        world.run(secs(1)).await;
-        for who in instances {
-            world.start(*who);
+        cluster.run(secs(1)).await;
+        for process in instances {
+            cluster.start(*process);
         }
-        world.run(secs(5)).await;
+        cluster.run(secs(5)).await;
     }
-    world.run(secs(30)).await;
-    world.check("replacement of all");
+    cluster.run(secs(30)).await;
+    cluster.check_invariants("replacement of all");
     let mut tally = std::collections::BTreeMap::<String, u32>::new();
     for (call, idempotent) in calls {
         let kind = if idempotent { "idempotent" } else { "bond" };
-        *tally.entry(format!("{kind} {}", name(world.answer(call)))).or_default() += 1;
+        *tally.entry(format!("{kind} {}", answer_name(cluster.answer(call)))).or_default() += 1;
     }
     insta::assert_snapshot!(format!("{tally:?}"), @r#"{"bond done": 34, "bond unknown": 6, "idempotent done": 40}"#);
 }
 
-/// Symptom: one bad worker eats the queue, or a bad job takes good workers down
-/// with it. Sequence: a worker fails everything at once and so is always free;
-/// a job fails wherever it runs. Cause: the two are not told apart.
+/// A bad worker consumes the queue, or a bad job gets good workers quarantined,
+/// if the two are not distinguished. One worker fails everything at once and so
+/// is always free; one job fails wherever it runs.
 #[actix_rt::test]
 async fn a_bad_worker_and_a_bad_job_are_told_apart() {
-    let mut world = World::settled(2, 3, 9).await;
-    let at = world.follower();
-    world.fail_all(0);
+    let mut cluster = Cluster::ready(2, 3, 9).await;
+    let entry = cluster.follower();
+    cluster.fail_all_tasks(0);
     let mut calls = Vec::new();
     for index in 0..60 {
-        calls.push(world.submit(at, &job(&format!("good-{index}"), true, ms(600))));
-        world.run(ms(50)).await;
+        calls.push(cluster.submit(entry, &job(&format!("good-{index}"), true, ms(600))));
+        cluster.run(ms(50)).await;
     }
     let bad = Job { payload: b"fail".to_vec(), ..job("bad", true, ms(10)) };
-    let bad = world.submit(at, &bad);
-    world.run(secs(10)).await;
-    world.check("bad worker");
-    let done = calls.iter().filter(|call| name(world.answer(**call)) == "done").count();
-    let starts = world.starts("bad").len();
-    let conditions = world.conditions().await;
+    let bad = cluster.submit(entry, &bad);
+    cluster.run(secs(10)).await;
+    cluster.check_invariants("bad worker");
+    let done = calls.iter().filter(|call| answer_name(cluster.answer(**call)) == "done").count();
+    let starts = cluster.start_times("bad").len();
+    let conditions = cluster.worker_conditions().await;
     insta::assert_snapshot!(
-        format!("{done} good done; bad {}, {starts} starts; {conditions}", name(world.answer(bad))),
+        format!("{done} good done; bad {}, {starts} starts; {conditions}", answer_name(cluster.answer(bad))),
         @r"60 good done; bad failed, 3 starts; quarantined serving serving"
     );
 }
 
-/// Symptom: one member of a gang runs, the others wait. Sequence: the word to go
-/// reaches one member only, the owner dies, the table is down so that nobody
-/// takes over. Cause: only an owner can start the rest.
+/// One member of a gang runs and the others wait, if only an owner can start
+/// them. The go frame reaches one member, the owner dies, and the table is down
+/// so that no entry takes over.
 #[actix_rt::test]
 async fn members_start_each_other() {
     let mut lines = Vec::new();
-    for told in 0..3 {
-        let mut world = World::settled(2, 3, 10).await;
-        let (owner, at) = (world.owner().unwrap(), world.follower());
-        world.submit(at, &gang("gang", false, ms(500), 3));
-        // Members have granted, the start is on its way to the table.
-        world.run(ms(4)).await;
-        let others = (0..3).filter(|agent| *agent != told);
-        world.cuts.extend(others.map(|agent| (Who::Entry(owner), Who::Agent(agent))));
-        world.run(ms(10)).await;
-        world.kill(Who::Entry(owner));
-        world.table = crate::bed::Table::Down;
-        world.run(secs(10)).await;
-        world.check(&format!("member {told} was told"));
-        let starts = world.starts("gang");
+    for notified in 0..3 {
+        let mut cluster = Cluster::ready(2, 3, 10).await;
+        let (owner, entry) = (cluster.owner().unwrap(), cluster.follower());
+        cluster.submit(entry, &gang("gang", false, ms(500), 3));
+        // All members have granted; the write of the start is in flight.
+        cluster.run(ms(4)).await;
+        let others = (0..3).filter(|agent| *agent != notified);
+        cluster
+            .partitions
+            .extend(others.map(|agent| (Process::Entry(owner), Process::Agent(agent))));
+        cluster.run(ms(10)).await;
+        cluster.kill(Process::Entry(owner));
+        cluster.table = crate::harness::TableState::Down;
+        cluster.run(secs(10)).await;
+        cluster.check_invariants(&format!("member {notified} got the go frame"));
+        let starts = cluster.start_times("gang");
         let spread = (*starts.last().unwrap() - starts[0]).as_millis();
-        lines.push(format!("member {told} told: {} starts within {spread} ms", starts.len()));
+        lines.push(format!("member {notified} told: {} starts within {spread} ms", starts.len()));
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
     member 0 told: 3 starts within 494 ms
@@ -327,37 +335,37 @@
     ");
 }
 
-/// Symptom: a worker that an operator drained is given work. Sequence: it is
-/// drained under load, the owner dies, another takes over; then the drain ends.
-/// Cause: the drain lives in one owner's memory.
+/// A drained worker gets work after a change of owner, if the drain is held only
+/// in the owner's memory. It is drained under load, the owner dies and another
+/// takes over; then the drain ends.
 #[actix_rt::test]
 async fn a_drained_worker_gets_no_new_work() {
-    let mut world = World::settled(2, 2, 11).await;
-    let owner = world.owner().unwrap();
+    let mut cluster = Cluster::ready(2, 2, 11).await;
+    let owner = cluster.owner().unwrap();
     let drain = |expected, drained| {
         let worker = "worker-0".to_owned();
         Ask::PutDrain { worker, expected, drained }
     };
-    let call = world.ask(owner, drain(0, true));
-    world.until_answered(call, secs(5)).await;
-    let (drained, mut names) = (world.now, vec![name(world.answer(call))]);
+    let call = cluster.call(owner, drain(0, true));
+    cluster.run_until_answered(call, secs(5)).await;
+    let (drained, mut names) = (cluster.now, vec![answer_name(cluster.answer(call))]);
     for index in 0..20 {
-        let at = world.follower();
-        world.submit(at, &job(&format!("job-{index}"), true, ms(300)));
-        world.run(ms(100)).await;
+        let entry = cluster.follower();
+        cluster.submit(entry, &job(&format!("job-{index}"), true, ms(300)));
+        cluster.run(ms(100)).await;
         if index == 10 {
-            world.kill(Who::Entry(owner));
-            world.run(secs(5)).await;
-            world.start(Who::Entry(owner));
+            cluster.kill(Process::Entry(owner));
+            cluster.run(secs(5)).await;
+            cluster.start(Process::Entry(owner));
         }
     }
-    names.push(format!("{} starts there", world.starts_at(0, drained).len()));
-    let at = world.owner().unwrap();
-    let call = world.ask(at, drain(1, false));
-    world.until_answered(call, secs(5)).await;
-    world.submit(at, &gang("both", true, ms(10), 2));
-    world.run(secs(5)).await;
-    world.check("drained worker");
-    names.push(format!("then {}", world.starts_at(0, drained).len()));
+    names.push(format!("{} starts there", cluster.start_times_at(0, drained).len()));
+    let entry = cluster.owner().unwrap();
+    let call = cluster.call(entry, drain(1, false));
+    cluster.run_until_answered(call, secs(5)).await;
+    cluster.submit(entry, &gang("both", true, ms(10), 2));
+    cluster.run(secs(5)).await;
+    cluster.check_invariants("drained worker");
+    names.push(format!("then {}", cluster.start_times_at(0, drained).len()));
     insta::assert_snapshot!(names.join(", "), @r"changed to 1, 0 starts there, then 1");
 }
