--- a/crates/dispatch/src/settlement.rs
+++ b/crates/dispatch/src/settlement.rs
@@ -33,7 +33,7 @@
             return;
         }
         self.awaited.next_scan = now + LOG_INTERVAL_MS;
-        let steps = self.refresh_held_back(wall);
+        let steps = self.prune_held_back(wall);
         if steps == 0 {
             return;
         }
@@ -50,8 +50,9 @@
             .agents
             .iter()
             .filter(|(_, agent)| !agent.is_clear_of_predecessors(last, lease, now));
-        let lack =
-            |agent| CloseReason::of(agent, &self.settings, self.now).unwrap_or(CloseReason::Answer);
+        let lack = |agent| {
+            CloseReason::of(agent, &self.settings, self.now).unwrap_or(CloseReason::NoAnswer)
+        };
         agents.map(|(name, agent)| (name.clone(), lack(agent))).collect()
     }
 }
--- a/tests/guarantees.rs
+++ b/tests/guarantees.rs
@@ -24,7 +24,7 @@
         cluster.submit(entry, &borrowed);
     }
     cluster.run(secs(2)).await;
-    assert_eq!((0..4).map(|a| cluster.grantor(a).granted().count_ones()).sum::<u32>(), 32);
+    assert_eq!((0..4).map(|a| cluster.grantor(a).granted_mask().count_ones()).sum::<u32>(), 32);
     cluster
 }
 
@@ -78,7 +78,7 @@
     cluster.submit(entry, &Job { shape, ..job("claim", false, ms(100)) });
     cluster.run(secs(20)).await;
     cluster.check_invariants("preempted work");
-    let granted: u32 = (0..4).map(|a| cluster.grantor(a).granted().count_ones()).sum();
+    let granted: u32 = (0..4).map(|a| cluster.grantor(a).granted_mask().count_ones()).sum();
     assert_eq!(granted, 32, "the pool is full again");
 }
 
--- a/tests/harness/cluster.rs
+++ b/tests/harness/cluster.rs
@@ -179,7 +179,7 @@
                 };
                 let seed = index as u64;
                 let settings = grant::Settings { member, seed, ..grant::Settings::default() };
-                worker.grantor = Some(Grantor::open(settings));
+                worker.grantor = Some(Grantor::new(settings));
                 let tasks = worker.tasks.values().cloned().collect();
                 let missed = std::mem::take(&mut worker.undelivered_ends);
                 self.push(
@@ -313,7 +313,7 @@
 
     /// Makes the endpoint report that it is leaving.
     pub fn announce_leaving(&mut self, index: usize) {
-        let input = grant::Input::Health { leaving: true };
+        let input = grant::Input::EndpointHealth { leaving: true };
         self.push(FRAME_DELAY, Process::Agent(index), Delivery::Agent(input), None);
     }
 
--- a/tests/harness/delivery.rs
+++ b/tests/harness/delivery.rs
@@ -54,7 +54,7 @@
             self.serve_table(pending.to, pending.incarnation, id, &op);
             return;
         }
-        if let (Process::Agent(index), Delivery::Agent(input @ grant::Input::Endpoint { .. })) =
+        if let (Process::Agent(index), Delivery::Agent(input @ grant::Input::RankEnded { .. })) =
             (pending.to, &pending.delivery)
             && self.workers[index].grantor.is_none()
         {
@@ -114,7 +114,7 @@
         let grantor = self.workers[index].grantor.as_mut().expect("checked by the caller");
         let outputs = match delivery {
             Delivery::Agent(input) => {
-                if let grant::Input::Endpoint { attempt, .. } = &input {
+                if let grant::Input::RankEnded { attempt, .. } = &input {
                     let task = self.workers[index].tasks.get(attempt);
                     if task.is_none() {
                         return;
@@ -148,8 +148,8 @@
             grant::Output::Send { link, frame } => self.send(me, link, frame),
             grant::Output::Close { link, .. } => self.close(link, Some(me)),
             grant::Output::Run { task } => self.run_task(index, task),
-            grant::Output::Halt { attempt, grace } => self.stop_task(index, attempt, grace),
-            grant::Output::Drop { .. } => {}
+            grant::Output::Stop { attempt, grace } => self.stop_task(index, attempt, grace),
+            grant::Output::Forget { .. } => {}
             grant::Output::Event(kind) => {
                 let name = format!("worker-{index}.{}", self.workers[index].incarnation);
                 self.record_event(&name, kind);
--- a/tests/harness/endpoint.rs
+++ b/tests/harness/endpoint.rs
@@ -50,7 +50,7 @@
         rank: u32,
         end: End,
     ) {
-        let input = grant::Input::Endpoint { attempt, rank, end };
+        let input = grant::Input::RankEnded { attempt, rank, end };
         self.push(delay, Process::Agent(index), Delivery::Agent(input), None);
         if let Some(pending) = self.queue.get_mut(&(self.now + delay, self.next_id)) {
             pending.incarnation = ANY_INCARNATION;
@@ -63,7 +63,7 @@
     now: Duration,
     input: grant::Input,
 ) -> Vec<grant::Output> {
-    if let grant::Input::Endpoint { attempt, rank, .. } = &input
+    if let grant::Input::RankEnded { attempt, rank, .. } = &input
         && let Some(task) = worker.tasks.get_mut(attempt)
     {
         // The fake may schedule several ends for a rank; only the first counts.
--- a/tests/harness/links.rs
+++ b/tests/harness/links.rs
@@ -55,7 +55,7 @@
             let address = address.to_owned();
             let delivery = match from {
                 Process::Entry(_) => Delivery::Entry(shard::Input::Undialled { address }),
-                Process::Agent(_) => Delivery::Agent(grant::Input::Undialled { address }),
+                Process::Agent(_) => Delivery::Agent(grant::Input::DialFailed { address }),
             };
             self.push(secs(1), from, delivery, None);
             return;
@@ -81,7 +81,7 @@
         let hello = Hello { role, name: process_name(other), incarnation: self.incarnation(other) };
         let delivery = match at {
             Process::Entry(_) => Delivery::Entry(shard::Input::Linked { link, hello, dialled }),
-            Process::Agent(_) => Delivery::Agent(grant::Input::Linked { link, hello, dialled }),
+            Process::Agent(_) => Delivery::Agent(grant::Input::Connected { link, hello, dialled }),
         };
         self.push(FRAME_DELAY, at, delivery, Some(link));
     }
@@ -94,7 +94,7 @@
             }
             let delivery = match end {
                 Process::Entry(_) => Delivery::Entry(shard::Input::Unlinked { link }),
-                Process::Agent(_) => Delivery::Agent(grant::Input::Unlinked { link }),
+                Process::Agent(_) => Delivery::Agent(grant::Input::Disconnected { link }),
             };
             self.push(FRAME_DELAY, end, delivery, None);
         }
--- a/tests/harness/table_state.rs
+++ b/tests/harness/table_state.rs
@@ -59,7 +59,7 @@
         };
         let delivery = match from {
             Process::Entry(_) => Delivery::Entry(shard::Input::Store { id, result }),
-            Process::Agent(_) => Delivery::Agent(grant::Input::Owner(decode_owner(&result))),
+            Process::Agent(_) => Delivery::Agent(grant::Input::OwnerRow(decode_owner(&result))),
         };
         self.push(delay, from, delivery, None);
         if let Some(pending) = self.queue.get_mut(&(self.now + delay, self.next_id)) {
--- a/tests/workers.rs
+++ b/tests/workers.rs
@@ -15,7 +15,7 @@
     let screen = cluster.submit(entry, &job("screen", true, secs(3)));
     cluster.run(secs(1)).await;
     for agent in 0..3 {
-        if cluster.grantor(agent).granted() != 0 {
+        if cluster.grantor(agent).granted_mask() != 0 {
             cluster.freeze(Process::Agent(agent));
         }
     }
@@ -178,7 +178,7 @@
         }
         let busy = cluster.submit(entry, &job("busy", false, secs(5)));
         cluster.run(secs(1)).await;
-        let leaver = (0..2).find(|agent| cluster.grantor(*agent).granted() != 0).unwrap();
+        let leaver = (0..2).find(|agent| cluster.grantor(*agent).granted_mask() != 0).unwrap();
         cluster.announce_leaving(leaver);
         let left = cluster.now;
         let mut calls = Vec::new();
@@ -218,7 +218,7 @@
         cluster.drain(Process::Agent(agent));
         cluster.run(ms(2)).await;
         let drain_started_at = cluster.now;
-        while !cluster.grantor(agent).empty() {
+        while !cluster.grantor(agent).is_idle() {
             cluster.run(ms(10)).await;
             assert!(
                 cluster.now - drain_started_at < secs(10),
