--- a/crates/stand-in/tests/soak/client.rs
+++ b/crates/stand-in/tests/soak/client.rs
@@ -1,4 +1,4 @@
-//! Clients: they submit jobs, cancel some, and ask what became of them.
+//! Clients that submit jobs, cancel some and query their states.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -8,84 +8,94 @@
 use rand::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-use crate::hall::Hall;
-use crate::judge::{Job, Step, Told};
-
-/// How often a client tries before it gives up.
-const TRIES: usize = 5;
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(300);
-/// How long it waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// One job in so many crashes workers, where some do.
-const BAD: u64 = 12;
-/// Where an entry tells whether it asks for clients.
-const READY: &str = "/v1/readyz";
-
-/// Calls entries over connections that stay open.
+use crate::checker::{Job, Step, SubmitOutcome};
+use crate::fleet::Fleet;
+
+/// Number of attempts before a client gives up.
+const MAX_TRIES: usize = 5;
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// One job in this many crashes workers, if any do.
+const CRASHING_JOB_RATIO: u64 = 12;
+/// Path of an entry's readiness check.
+const READY_PATH: &str = "/v1/readyz";
+
+/// Calls entries over persistent connections.
 pub struct Client {
     http: awc::Client,
     entries: Vec<String>,
     random: StdRng,
     /// Some jobs crash the workers that start them.
-    bad: bool,
+    crashing_jobs: bool,
 }
 
 impl Client {
-    pub fn open(entries: &[String], seed: u64) -> Client {
-        let http = awc::Client::builder().timeout(PATIENCE).finish();
-        Client { http, entries: entries.to_vec(), random: StdRng::seed_from_u64(seed), bad: false }
+    pub fn new(entries: &[String], seed: u64) -> Client {
+        let http = awc::Client::builder().timeout(CALL_TIMEOUT).finish();
+        Client {
+            http,
+            entries: entries.to_vec(),
+            random: StdRng::seed_from_u64(seed),
+            crashing_jobs: false,
+        }
     }
 
-    /// One in [`BAD`] of its jobs crashes the workers that start it.
-    pub fn with_bad_jobs(self, bad: bool) -> Client {
-        Client { bad, ..self }
+    /// Makes one in [`CRASHING_JOB_RATIO`] of its jobs crash the workers that start it.
+    pub fn with_crashing_jobs(self, crashing_jobs: bool) -> Client {
+        Client { crashing_jobs, ..self }
     }
 
-    /// Submits a job, cancels some, and takes note of what it is told. Returns
-    /// the job's path if it was accepted.
-    pub async fn submit(&mut self, hall: &Mutex<Hall>, key: &str) -> Option<String> {
+    /// Submits a job, records the outcome and cancels some jobs. Returns the job's
+    /// path if it was accepted.
+    pub async fn submit(&mut self, fleet: &Mutex<Fleet>, key: &str) -> Option<String> {
         let id = format!("{:016x}", self.random.random::<u64>());
         let queue = if self.random.random_bool(0.4) { "urgent" } else { "calm" };
         let path = format!("/{queue}/{id}");
         let job = self.draw(&id);
         // Both interfaces lead to the same jobs.
         let (to, key_line, body) = match self.random.random_bool(0.3) {
-            true => (SUBMIT.to_owned(), format!("Bearer {key}"), procedure(queue, &id, &job)),
+            true => (SUBMIT_PATH.to_owned(), format!("Bearer {key}"), procedure(queue, &id, &job)),
             false => (path.clone(), format!("Token {key}"), encode(&job)),
         };
-        hall.lock().unwrap().judge.jobs.insert(id.clone(), job);
-        let told = self.insist(&to, &key_line, &body).await;
-        if let Some(job) = hall.lock().unwrap().judge.jobs.get_mut(&id) {
-            job.told = told;
+        fleet.lock().unwrap().checker.jobs.insert(id.clone(), job);
+        let submit_outcome = self.submit_with_retries(&to, &key_line, &body).await;
+        if let Some(job) = fleet.lock().unwrap().checker.jobs.get_mut(&id) {
+            job.submit_outcome = submit_outcome;
         }
-        if told != Told::Accepted {
+        if submit_outcome != SubmitOutcome::Accepted {
             return None;
         }
         if self.random.random_bool(0.1) {
-            if let Some(job) = hall.lock().unwrap().judge.jobs.get_mut(&id) {
+            if let Some(job) = fleet.lock().unwrap().checker.jobs.get_mut(&id) {
                 job.cancelled = true;
             }
-            // Whatever the answer: its end is asked for later.
+            // The answer is ignored: the state is queried later.
             let _ = self.call(Method::DELETE, &path, &format!("Token {key}"), None).await;
         }
         Some(path)
     }
 
-    async fn insist(&mut self, path: &str, key_line: &str, body: &Value) -> Told {
-        let mut told = Told::Refused;
-        for _ in 0..TRIES {
+    async fn submit_with_retries(
+        &mut self,
+        path: &str,
+        key_line: &str,
+        body: &Value,
+    ) -> SubmitOutcome {
+        let mut outcome = SubmitOutcome::Refused;
+        for _ in 0..MAX_TRIES {
             match self.call(Method::POST, path, key_line, Some(body)).await {
-                Some((200, _)) => return Told::Accepted,
+                Some((200, _)) => return SubmitOutcome::Accepted,
                 Some((429 | 503, _)) => {}
-                _ => told = Told::Unclear,
+                _ => outcome = SubmitOutcome::Unclear,
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
-        told
+        outcome
     }
 
-    /// Asks for a job's state; `gone` if there is no such job, none without an
+    /// Queries a job's state: `gone` if there is no such job, `None` without an
     /// answer.
     pub async fn state(&mut self, path: &str, key: &str) -> Option<String> {
         match self.call(Method::GET, path, &format!("Token {key}"), None).await? {
@@ -95,8 +105,9 @@
         }
     }
 
-    /// Submits nothing: a malformed body with a key shows whether it is known.
-    pub async fn knows(&mut self, key: &str) -> Option<bool> {
+    /// Returns whether a key is valid, by a call with a malformed body that submits
+    /// nothing; `None` without a clear answer.
+    pub async fn is_key_known(&mut self, key: &str) -> Option<bool> {
         let path = format!("/calm/{:016x}", self.random.random::<u64>());
         let (status, _) =
             self.call(Method::POST, &path, &format!("Token {key}"), Some(&json!({}))).await?;
@@ -107,15 +118,15 @@
         }
     }
 
-    /// The status of a call, whatever it is.
+    /// Returns the HTTP status of a call, 0 without an answer.
     pub async fn status(&mut self, path: &str, key_line: &str, body: &Value) -> u16 {
-        let told = self.call(Method::POST, path, key_line, Some(body)).await;
-        told.map_or(0, |(status, _)| status)
+        let answer = self.call(Method::POST, path, key_line, Some(body)).await;
+        answer.map_or(0, |(status, _)| status)
     }
 
-    /// True if the entry with this address for readiness asks for clients.
+    /// Returns whether the entry with this readiness address is ready.
     pub async fn is_ready(&self, address: &str) -> bool {
-        let request = self.http.get(format!("http://{address}{READY}"));
+        let request = self.http.get(format!("http://{address}{READY_PATH}"));
         request.send().await.is_ok_and(|answer| answer.status().is_success())
     }
 
@@ -145,12 +156,19 @@
     fn draw(&mut self, id: &str) -> Job {
         let count = self.random.random_range(1..=2);
         let steps = (0..count).map(|number| self.step(number)).collect();
-        let fails = if self.random.random_bool(0.2) { 4 } else { 0 };
-        let (told, cancelled) = (Told::Unclear, false);
-        // By its name, so that seeds draw the same jobs with and without.
+        let fail_interval = if self.random.random_bool(0.2) { 4 } else { 0 };
+        let (submit_outcome, cancelled) = (SubmitOutcome::Unclear, false);
+        // Derived from the id, so that seeds draw the same jobs with and without crashes.
         let number = u64::from_str_radix(id, 16).unwrap_or_default();
-        let crashes = self.bad && number.is_multiple_of(BAD);
-        Job { spec: format!("spec of {id}"), steps, told, cancelled, fails, crashes }
+        let crashes = self.crashing_jobs && number.is_multiple_of(CRASHING_JOB_RATIO);
+        Job {
+            spec: format!("spec of {id}"),
+            steps,
+            submit_outcome,
+            cancelled,
+            fail_interval,
+            crashes,
+        }
     }
 
     fn step(&mut self, number: u32) -> Step {
@@ -165,8 +183,8 @@
     }
 }
 
-/// The product's own procedure for submissions.
-pub const SUBMIT: &str = "/quincewheel.jobs.v1.Jobs/Submit";
+/// Path of the RPC for submissions.
+pub const SUBMIT_PATH: &str = "/quincewheel.jobs.v1.Jobs/Submit";
 
 fn procedure(queue: &str, id: &str, job: &Job) -> Value {
     let step = |step: &Step| {
--- a/crates/stand-in/tests/soak/world.rs
+++ b/crates/stand-in/tests/soak/deployment.rs
@@ -1,4 +1,4 @@
-//! One run: the processes, what surrounds them, and the faults.
+//! One run: the processes, their stand-ins, and the injection of faults.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -7,18 +7,18 @@
 use std::time::{Duration, Instant};
 use std::{fs, thread};
 
-use crate::answers;
+use crate::bad_calls;
 use crate::client::Client;
 use crate::fault::{self, Fault};
-use crate::hall::Hall;
+use crate::fleet::Fleet;
 use crate::keys::Keys;
 use crate::kind::Kind;
 use crate::machines;
 use crate::net::{self, Net};
 use crate::process::{Process, Signal};
 use crate::proxy::{Mode, Proxy};
-use crate::setup::{name, program, settings};
-use crate::table::{self, Table, Trouble};
+use crate::settings::{name, program, settings};
+use crate::table::{self, Table, TableFault};
 use crate::worker;
 use futures_util::future::join_all;
 use quincewheel_http::Server;
@@ -28,121 +28,121 @@
 /// Their availability zones.
 const ZONES: usize = 2;
 const CLIENTS: u64 = 4;
-/// The table's address is that of this host.
+/// Host part of the table's address.
 const TABLE_HOST: u8 = 250;
 /// Seconds from SIGTERM to SIGKILL, in the settings of all processes.
-pub const GRACE: u64 = 3;
-/// A process that was told to end may take so much longer: the machine is busy,
-/// and the programs are not optimized.
-const LATE: Duration = Duration::from_millis(700);
-/// A key that was taken away must not work after this time.
-pub const REVOKE: Duration = Duration::from_millis(5000);
-/// Pause of a client between two jobs. Four clients then ask for some three
-/// quarters of what the workers can do.
-const THINK: Duration = Duration::from_millis(1000);
-/// Everything loses power for so many milliseconds at the end of a run ...
-const DARK: u64 = 1000;
-/// ... after the next job is accepted, if one is within this time.
-const NEWS: Duration = Duration::from_secs(3);
-/// After the last fault all accepted jobs must end within this time: a lease, an
-/// owner's longest time without the table, and the work itself.
-const FINISH: Duration = Duration::from_secs(45);
+pub const SHUTDOWN_GRACE_S: u64 = 3;
+/// Extra time for a process to end after its shutdown grace, for unoptimized programs
+/// on a busy machine.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
+/// A revoked key must be refused after this time.
+pub const REVOCATION_DEADLINE: Duration = Duration::from_millis(5000);
+/// Pause of a client between two jobs. Four clients then use about three quarters
+/// of the workers' capacity.
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(1000);
+/// Duration of the power loss at the end of a run, in milliseconds.
+const POWER_LOSS_MS: u64 = 1000;
+/// The power loss waits up to this time for the next accepted job.
+const ACCEPT_WAIT: Duration = Duration::from_secs(3);
+/// After the last fault all accepted jobs must end within this time: the sum of a lease,
+/// an owner's longest time without the table, and the work itself.
+const COMPLETION_DEADLINE: Duration = Duration::from_secs(45);
 
-/// What a run showed.
+/// The result of a run.
 pub struct Outcome {
     pub violations: Vec<String>,
     pub line: String,
 }
 
 /// A running deployment.
-pub struct World {
+pub struct Deployment {
     net: Net,
     processes: Vec<Process>,
     to_table: Vec<Proxy>,
     to_peers: Vec<Proxy>,
     table: Arc<Mutex<Table>>,
-    hall: Arc<Mutex<Hall>>,
+    fleet: Arc<Mutex<Fleet>>,
     keys: Arc<Mutex<Keys>>,
-    /// Ends of faults that are under way.
-    heals: Vec<(Instant, Heal)>,
+    /// Repairs of active faults, with the times when they are due.
+    repairs: Vec<(Instant, Repair)>,
     _servers: Vec<Server>,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Heal {
+enum Repair {
     Start(usize),
     Continue(usize),
     Restarted(usize),
-    Table(usize),
-    Peers(usize),
-    Trouble,
-    Room(usize),
+    TableLink(usize),
+    PeerLinks(usize),
+    TableService,
+    Capacity(usize),
     Zone(usize),
 }
 
-impl World {
-    /// Plays one seed.
-    pub fn play(seed: u64, seconds: u64, kind: Kind, logs: Option<&Path>) -> Outcome {
+impl Deployment {
+    /// Runs one seed.
+    pub fn run_seed(seed: u64, seconds: u64, kind: Kind, logs: Option<&Path>) -> Outcome {
         let folder = std::env::temp_dir().join(format!("soak-{}-{seed}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
         let logs = logs.map(|logs| logs.join(seed.to_string()));
         if let Some(logs) = &logs {
             fs::create_dir_all(logs).unwrap();
         }
-        let mut world = World::open(&folder, kind, logs.as_deref());
-        let paths = world.run(seed, seconds, kind);
+        let mut deployment = Deployment::open(&folder, kind, logs.as_deref());
+        let paths = deployment.run(seed, seconds, kind);
         let accepted = paths.len();
-        world.settle(&paths, seed);
-        world.check_processes();
-        let judge = &mut world.hall.lock().unwrap().judge;
-        let line = format!("{accepted} jobs accepted, {} starts", judge.starts);
-        let mut violations = std::mem::take(&mut judge.violations);
-        if judge.starts == 0 {
+        deployment.wait_for_jobs(&paths, seed);
+        deployment.check_processes();
+        let checker = &mut deployment.fleet.lock().unwrap().checker;
+        let line = format!("{accepted} jobs accepted, {} starts", checker.starts);
+        let mut violations = std::mem::take(&mut checker.violations);
+        if checker.starts == 0 {
             violations.push("nothing was served".to_owned());
         }
         let _ = fs::remove_dir_all(&folder);
         Outcome { violations, line }
     }
 
-    pub fn open(folder: &Path, kind: Kind, logs: Option<&Path>) -> World {
-        let hall = Arc::new(Mutex::new(Hall::open(WORKERS, kind)));
-        let (net, table, server) = World::claim();
+    pub fn open(folder: &Path, kind: Kind, logs: Option<&Path>) -> Deployment {
+        let fleet = Arc::new(Mutex::new(Fleet::new(WORKERS, kind)));
+        let (net, table, server) = Deployment::claim_addresses();
         let (address, mut servers) = (net.own(TABLE_HOST, net::TABLE), vec![server]);
         let list = net.own(TABLE_HOST, net::MACHINES);
-        servers.push(machines::spawn(&list, Arc::clone(&hall)).unwrap());
+        servers.push(machines::spawn(&list, Arc::clone(&fleet)).unwrap());
         let list = kind.harms_workers().then_some(list);
-        let mut world = World {
+        let mut deployment = Deployment {
             net,
             processes: Vec::new(),
             to_table: Vec::new(),
             to_peers: Vec::new(),
             table,
-            hall,
+            fleet,
             keys: Arc::default(),
-            heals: Vec::new(),
+            repairs: Vec::new(),
             _servers: Vec::new(),
         };
-        world.change_keys();
+        deployment.rotate_keys();
         for index in 0..ENTRIES + WORKERS {
             let host = 1 + index as u8;
             if let Some(at) = index.checked_sub(ENTRIES) {
                 if kind.harms_workers() {
-                    let door = Proxy::bind(&net.to_worker(host), &net.own(host, net::WORKER));
-                    world.hall.lock().unwrap().doors.push(door.unwrap());
+                    let proxy = Proxy::bind(&net.to_worker(host), &net.own(host, net::WORKER));
+                    deployment.fleet.lock().unwrap().proxies.push(proxy.unwrap());
                 }
-                let server = worker::spawn(net, host, at, Arc::clone(&world.hall));
+                let server = worker::spawn(net, host, at, Arc::clone(&deployment.fleet));
                 servers.push(server.unwrap());
             }
             let file = folder.join(format!("{}.toml", name(index)));
             fs::write(&file, settings(net, index, host, list.as_deref(), kind)).unwrap();
-            world.add(net, index, host, &file, logs, &address);
+            deployment.add(net, index, host, &file, logs, &address);
         }
-        world._servers = servers;
-        world
+        deployment._servers = servers;
+        deployment
     }
 
-    /// A block of addresses, and the table there: whoever serves the table has it.
-    fn claim() -> (Net, Arc<Mutex<Table>>, Server) {
+    /// Claims a free block of addresses by binding the table server in it.
+    fn claim_addresses() -> (Net, Arc<Mutex<Table>>, Server) {
         for _ in 0..net::BLOCKS {
             let net = Net::next();
             let table = Arc::new(Mutex::new(Table::open(net)));
@@ -172,18 +172,18 @@
         self.processes.push(Process::spawn(&name(index), &program, settings, logs));
     }
 
-    /// Lets clients work while faults come, and returns what was accepted.
+    /// Runs clients while faults are injected, and returns the paths of accepted jobs.
     fn run(&mut self, seed: u64, seconds: u64, kind: Kind) -> Vec<String> {
         let entries = self.entries();
-        self.check_answers(&entries);
+        self.check_bad_calls(&entries);
         let stop = Arc::new(AtomicBool::new(false));
-        let ticking = self.spawn_time(Arc::clone(&stop));
+        let ticking = self.spawn_clock(Arc::clone(&stop));
         let clients: Vec<_> = (0..CLIENTS)
             .map(|number| {
                 self.spawn_client(&entries, seed ^ (number << 32), kind, Arc::clone(&stop))
             })
             .collect();
-        let prober = self.spawn_prober(&entries, seed, Arc::clone(&stop));
+        let prober = self.spawn_key_prober(&entries, seed, Arc::clone(&stop));
         let begin = Instant::now();
         let mut faults = fault::draw(seed, seconds, ENTRIES + WORKERS, WORKERS);
         if kind.harms_workers() {
@@ -198,15 +198,15 @@
         faults.sort_by_key(|(at, _)| *at);
         for (at, fault) in faults {
             while begin.elapsed() < Duration::from_millis(at) {
-                self.heal(false);
+                self.repair(false);
                 thread::sleep(Duration::from_millis(10));
             }
-            self.inflict(fault);
+            self.inject(fault);
         }
         if kind.keeps_ids() {
             self.lose_power();
         }
-        self.heal(true);
+        self.repair(true);
         stop.store(true, Ordering::Relaxed);
         let paths = clients.into_iter().flat_map(|client| client.join().unwrap()).collect();
         prober.join().unwrap();
@@ -214,12 +214,12 @@
         paths
     }
 
-    /// Changes what becomes of a process's connections to the table.
+    /// Sets the mode of a process's connections to the table.
     pub fn cut_from_table(&self, process: usize, mode: Mode) {
         self.to_table[process].set(mode);
     }
 
-    /// The key in force.
+    /// Returns the current key.
     pub fn key(&self) -> String {
         self.keys.lock().unwrap().current.clone()
     }
@@ -228,27 +228,27 @@
         (0..ENTRIES).map(|index| self.net.own(1 + index as u8, net::CLIENTS)).collect()
     }
 
-    /// Checks that bad calls get a clear answer from each entry, all at once: what
-    /// one answers before it is ready must be seen, too.
-    pub fn check_answers(&self, entries: &[String]) {
+    /// Checks that each entry answers invalid calls correctly. All entries are checked
+    /// at once, so that answers of an entry that is not ready yet are covered.
+    pub fn check_bad_calls(&self, entries: &[String]) {
         let (key, began) = (self.keys.lock().unwrap().current.clone(), Instant::now());
         let check = async |(host, entry): (u8, &String)| {
             let readiness = self.net.own(host, net::READY);
-            for wrong in answers::check(entry, &readiness, &key, began).await {
+            for wrong in bad_calls::check(entry, &readiness, &key, began).await {
                 let text = format!("ANSWER entry-{}: {wrong}", host - 1);
-                self.hall.lock().unwrap().judge.report(text);
+                self.fleet.lock().unwrap().checker.report(text);
             }
         };
         actix_rt::System::new().block_on(join_all((1..).zip(entries).map(check)));
     }
 
-    /// Lets workers' time pass for as long as the run lasts.
-    fn spawn_time(&self, _stop: Arc<AtomicBool>) -> thread::JoinHandle<()> {
-        let hall = Arc::downgrade(&self.hall);
+    /// Ticks the workers for as long as the run lasts.
+    fn spawn_clock(&self, _stop: Arc<AtomicBool>) -> thread::JoinHandle<()> {
+        let fleet = Arc::downgrade(&self.fleet);
         thread::spawn(move || {
-            while let Some(hall) = hall.upgrade() {
-                hall.lock().unwrap().tick();
-                drop(hall);
+            while let Some(fleet) = fleet.upgrade() {
+                fleet.lock().unwrap().tick();
+                drop(fleet);
                 thread::sleep(Duration::from_millis(10));
             }
         })
@@ -261,44 +261,44 @@
         kind: Kind,
         stop: Arc<AtomicBool>,
     ) -> thread::JoinHandle<Vec<String>> {
-        let (entries, hall, keys) =
-            (entries.to_vec(), Arc::clone(&self.hall), Arc::clone(&self.keys));
+        let (entries, fleet, keys) =
+            (entries.to_vec(), Arc::clone(&self.fleet), Arc::clone(&self.keys));
         thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
-                let bad = kind.harms_workers();
-                let mut client = Client::open(&entries, seed).with_bad_jobs(bad);
+                let crashing_jobs = kind.harms_workers();
+                let mut client = Client::new(&entries, seed).with_crashing_jobs(crashing_jobs);
                 let mut paths = Vec::new();
                 while !stop.load(Ordering::Relaxed) {
                     let key = keys.lock().unwrap().current.clone();
-                    paths.extend(client.submit(&hall, &key).await);
-                    tokio::time::sleep(THINK).await;
+                    paths.extend(client.submit(&fleet, &key).await);
+                    tokio::time::sleep(SUBMIT_INTERVAL).await;
                 }
                 paths
             })
         })
     }
 
-    /// Tries keys that were taken away.
-    fn spawn_prober(
+    /// Checks that revoked keys are refused.
+    fn spawn_key_prober(
         &self,
         entries: &[String],
         seed: u64,
         stop: Arc<AtomicBool>,
     ) -> thread::JoinHandle<()> {
-        let (entries, hall, keys) =
-            (entries.to_vec(), Arc::clone(&self.hall), Arc::clone(&self.keys));
+        let (entries, fleet, keys) =
+            (entries.to_vec(), Arc::clone(&self.fleet), Arc::clone(&self.keys));
         thread::spawn(move || {
             actix_rt::System::new().block_on(async move {
-                let mut client = Client::open(&entries, !seed);
+                let mut client = Client::new(&entries, !seed);
                 while !stop.load(Ordering::Relaxed) {
-                    let old = |(_, at): &&(String, Instant)| at.elapsed() > REVOKE;
-                    let key = keys.lock().unwrap().gone.iter().rev().find(old).cloned();
+                    let old = |(_, at): &&(String, Instant)| at.elapsed() > REVOCATION_DEADLINE;
+                    let key = keys.lock().unwrap().revoked.iter().rev().find(old).cloned();
                     if let Some((key, at)) = key
-                        && client.knows(&key).await == Some(true)
+                        && client.is_key_known(&key).await == Some(true)
                     {
                         let ms = at.elapsed().as_millis();
                         let text = format!("CONFIG a key works {ms} ms after it was taken away");
-                        hall.lock().unwrap().judge.report(text);
+                        fleet.lock().unwrap().checker.report(text);
                     }
                     tokio::time::sleep(Duration::from_millis(100)).await;
                 }
@@ -306,59 +306,63 @@
         })
     }
 
-    fn inflict(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         let after = |ms: u64| Instant::now() + Duration::from_millis(ms);
         match fault {
             Fault::Kill { process, down } => self.kill(process, down),
-            Fault::Herd { first, count, down } => {
+            Fault::KillMany { first, count, down } => {
                 for number in 0..count {
                     self.kill((first + number) % self.processes.len(), down);
                 }
             }
-            // A process that is about to end, or is down, is left alone: how long
-            // it takes to end is judged.
+            // A process that is stopping or down gets no further fault, since the time
+            // that it takes to stop is checked.
             Fault::Pause { process, .. } | Fault::Restart { process } if self.is_busy(process) => {}
             Fault::Pause { process, ms } => {
                 self.processes[process].signal(Signal::Stop);
-                self.heals.push((after(ms), Heal::Continue(process)));
+                self.repairs.push((after(ms), Repair::Continue(process)));
             }
             Fault::Restart { process } => {
                 self.processes[process].signal(Signal::Term);
-                self.heals.push((after(GRACE * 1000), Heal::Restarted(process)));
+                self.repairs.push((after(SHUTDOWN_GRACE_S * 1000), Repair::Restarted(process)));
             }
             Fault::Reload { process } => {
                 self.processes[process].change_settings();
                 self.processes[process].signal(Signal::Hangup);
             }
-            Fault::Table { process, mode, ms } => {
+            Fault::TableLink { process, mode, ms } => {
                 self.to_table[process].set(mode);
-                self.heals.push((after(ms), Heal::Table(process)));
+                self.repairs.push((after(ms), Repair::TableLink(process)));
             }
-            Fault::Peers { process, mode, ms } => {
+            Fault::PeerLinks { process, mode, ms } => {
                 self.to_peers[process].set(mode);
-                self.heals.push((after(ms), Heal::Peers(process)));
+                self.repairs.push((after(ms), Repair::PeerLinks(process)));
             }
-            Fault::Trouble { trouble, ms } => {
-                self.table.lock().unwrap().trouble = trouble;
-                self.heals.push((after(ms), Heal::Trouble));
+            Fault::TableService { fault, ms } => {
+                self.table.lock().unwrap().fault = fault;
+                self.repairs.push((after(ms), Repair::TableService));
             }
             Fault::Compact => self.table.lock().unwrap().compact(),
-            Fault::Worker { worker, dark } => self.hall.lock().unwrap().rebirth(worker, dark),
-            Fault::Late { worker, ms } => self.hall.lock().unwrap().answer_late(worker, ms),
-            Fault::Key => self.change_keys(),
+            Fault::RestartWorker { worker, down } => {
+                self.fleet.lock().unwrap().restart_worker(worker, down)
+            }
+            Fault::DelayStarts { worker, ms } => {
+                self.fleet.lock().unwrap().delay_starts(worker, ms)
+            }
+            Fault::RotateKey => self.rotate_keys(),
             Fault::Evacuate { zone, .. } if self.is_evacuated(zone) => {}
             Fault::Evacuate { zone, ms } => {
                 self.evacuate(zone, true);
-                self.heals.push((after(ms), Heal::Zone(zone)));
+                self.repairs.push((after(ms), Repair::Zone(zone)));
             }
             Fault::Shrink { worker, lost, ms } => {
-                self.hall.lock().unwrap().resize(worker, lost);
-                self.heals.push((after(ms), Heal::Room(worker)));
+                self.fleet.lock().unwrap().resize(worker, lost);
+                self.repairs.push((after(ms), Repair::Capacity(worker)));
             }
         }
     }
 
-    /// Operators evacuate an availability zone, or take it back.
+    /// Starts or ends the evacuation of an availability zone, as operators do.
     fn evacuate(&mut self, zone: usize, begins: bool) {
         let key = format!("evacuate/z{zone}");
         let mut table = self.table.lock().unwrap();
@@ -366,38 +370,43 @@
             true => table.put("op", &key, "{}"),
             false => table.remove("op", &key),
         }
-        self.hall.lock().unwrap().evacuate(zone, begins);
+        self.fleet.lock().unwrap().evacuate(zone, begins);
     }
 
     fn is_evacuated(&self, zone: usize) -> bool {
-        self.heals.iter().any(|(_, heal)| matches!(heal, Heal::Zone(other) if *other == zone))
+        self.repairs
+            .iter()
+            .any(|(_, repair)| matches!(repair, Repair::Zone(other) if *other == zone))
     }
 
-    /// Everything loses power at the same moment, workers too, right after work was accepted.
+    /// Kills all processes and workers at the same moment, right after a job was accepted.
     fn lose_power(&mut self) {
-        let accepted = |world: &World| world.hall.lock().unwrap().judge.accepted();
+        let accepted =
+            |deployment: &Deployment| deployment.fleet.lock().unwrap().checker.accepted_count();
         let (before, began) = (accepted(self), Instant::now());
-        while accepted(self) == before && began.elapsed() < NEWS {
+        while accepted(self) == before && began.elapsed() < ACCEPT_WAIT {
             thread::sleep(Duration::from_millis(1));
         }
         for process in 0..self.processes.len() {
-            self.kill(process, DARK);
+            self.kill(process, POWER_LOSS_MS);
         }
-        let mut hall = self.hall.lock().unwrap();
-        (0..WORKERS).for_each(|worker| hall.rebirth(worker, DARK));
-        drop(hall);
-        thread::sleep(Duration::from_millis(DARK));
+        let mut fleet = self.fleet.lock().unwrap();
+        (0..WORKERS).for_each(|worker| fleet.restart_worker(worker, POWER_LOSS_MS));
+        drop(fleet);
+        thread::sleep(Duration::from_millis(POWER_LOSS_MS));
     }
 
-    /// True if the process is down, paused or about to end.
+    /// Returns whether the process is down, paused or stopping.
     fn is_busy(&self, process: usize) -> bool {
-        self.heals.iter().any(|(_, heal)| match heal {
-            Heal::Start(other) | Heal::Continue(other) | Heal::Restarted(other) => {
+        self.repairs.iter().any(|(_, repair)| match repair {
+            Repair::Start(other) | Repair::Continue(other) | Repair::Restarted(other) => {
                 *other == process
             }
-            Heal::Table(_) | Heal::Peers(_) | Heal::Trouble | Heal::Room(_) | Heal::Zone(_) => {
-                false
-            }
+            Repair::TableLink(_)
+            | Repair::PeerLinks(_)
+            | Repair::TableService
+            | Repair::Capacity(_)
+            | Repair::Zone(_) => false,
         })
     }
 
@@ -407,68 +416,68 @@
         }
         self.processes[process].kill();
         let at = Instant::now() + Duration::from_millis(down);
-        self.heals.push((at, Heal::Start(process)));
+        self.repairs.push((at, Repair::Start(process)));
     }
 
-    /// Ends faults whose time is over, or all.
-    fn heal(&mut self, all: bool) {
+    /// Repairs the faults that are due, or all.
+    fn repair(&mut self, all: bool) {
         let now = Instant::now();
         let (due, later) =
-            std::mem::take(&mut self.heals).into_iter().partition(|(at, _)| all || *at <= now);
-        self.heals = later;
-        for (at, heal) in due {
-            if let Heal::Restarted(_) = heal {
-                // Its whole time for shutting down is its own.
+            std::mem::take(&mut self.repairs).into_iter().partition(|(at, _)| all || *at <= now);
+        self.repairs = later;
+        for (at, repair) in due {
+            if let Repair::Restarted(_) = repair {
+                // The process gets its whole shutdown grace.
                 thread::sleep(at.saturating_duration_since(Instant::now()));
             }
-            self.end_fault(heal);
+            self.end_fault(repair);
         }
     }
 
-    fn end_fault(&mut self, heal: Heal) {
-        match heal {
-            Heal::Start(process) => self.processes[process].start(),
-            Heal::Continue(process) => self.processes[process].signal(Signal::Continue),
-            Heal::Restarted(process) => {
-                if !self.processes[process].ended(LATE) {
+    fn end_fault(&mut self, repair: Repair) {
+        match repair {
+            Repair::Start(process) => self.processes[process].start(),
+            Repair::Continue(process) => self.processes[process].signal(Signal::Continue),
+            Repair::Restarted(process) => {
+                if !self.processes[process].ended(SHUTDOWN_MARGIN) {
                     let name = self.processes[process].name.clone();
                     let text = format!("END {name}: still there after its time for shutting down");
-                    self.hall.lock().unwrap().judge.report(text);
+                    self.fleet.lock().unwrap().checker.report(text);
                     self.processes[process].kill();
                 }
                 self.processes[process].start();
             }
-            Heal::Table(process) => self.to_table[process].set(Mode::Pass),
-            Heal::Peers(process) => self.to_peers[process].set(Mode::Pass),
-            Heal::Room(worker) => self.hall.lock().unwrap().resize(worker, 0),
-            Heal::Zone(zone) => self.evacuate(zone, false),
-            Heal::Trouble => self.table.lock().unwrap().trouble = Trouble::None,
+            Repair::TableLink(process) => self.to_table[process].set(Mode::Pass),
+            Repair::PeerLinks(process) => self.to_peers[process].set(Mode::Pass),
+            Repair::Capacity(worker) => self.fleet.lock().unwrap().resize(worker, 0),
+            Repair::Zone(zone) => self.evacuate(zone, false),
+            Repair::TableService => self.table.lock().unwrap().fault = TableFault::None,
         }
     }
 
-    /// Takes the current key away and gives another.
-    fn change_keys(&mut self) {
+    /// Revokes the current key and publishes another.
+    fn rotate_keys(&mut self) {
         let mut keys = self.keys.lock().unwrap();
-        let (config, former) = keys.change();
+        let (config, former) = keys.rotate();
         self.table.lock().unwrap().put("op", "config", &config);
-        keys.gone.push((former, Instant::now()));
+        keys.revoked.push((former, Instant::now()));
     }
 
-    /// Waits until all accepted jobs have ended, and checks what is told of them.
-    fn settle(&mut self, paths: &[String], seed: u64) {
-        let (entries, hall) = (self.entries(), Arc::clone(&self.hall));
+    /// Waits until all accepted jobs have ended, and checks the states that are reported.
+    fn wait_for_jobs(&mut self, paths: &[String], seed: u64) {
+        let (entries, fleet) = (self.entries(), Arc::clone(&self.fleet));
         let key = self.keys.lock().unwrap().current.clone();
         let mut open: Vec<String> = paths.to_vec();
-        let end = Instant::now() + FINISH;
+        let end = Instant::now() + COMPLETION_DEADLINE;
         actix_rt::System::new().block_on(async move {
-            let mut client = Client::open(&entries, seed);
+            let mut client = Client::new(&entries, seed);
             while !open.is_empty() && Instant::now() < end {
                 let mut left = Vec::new();
                 for path in open {
                     let state = client.state(&path, &key).await;
                     let id = path.rsplit('/').next().unwrap_or_default();
                     if let Some(state) = &state {
-                        hall.lock().unwrap().judge.state(id, state);
+                        fleet.lock().unwrap().checker.check_state(id, state);
                     }
                     if !matches!(
                         state.as_deref(),
@@ -483,9 +492,9 @@
             for path in open {
                 let text = format!(
                     "LOST {path}: has not ended {} s after the last fault",
-                    FINISH.as_secs()
+                    COMPLETION_DEADLINE.as_secs()
                 );
-                hall.lock().unwrap().judge.report(text);
+                fleet.lock().unwrap().checker.report(text);
             }
         });
     }
@@ -494,7 +503,7 @@
         for process in &mut self.processes {
             if process.died() {
                 let text = format!("END {}: ended by itself", process.name);
-                self.hall.lock().unwrap().judge.report(text);
+                self.fleet.lock().unwrap().checker.report(text);
             }
         }
     }
--- a/crates/stand-in/tests/soak/fault.rs
+++ b/crates/stand-in/tests/soak/fault.rs
@@ -4,42 +4,42 @@
 use rand::{Rng, SeedableRng};
 
 use crate::proxy::Mode;
-use crate::table::Trouble;
+use crate::table::TableFault;
 
-/// Something that goes wrong.
+/// A fault to inject.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A process is killed, and started again after so many milliseconds.
+    /// A process is killed, and started again after `down` milliseconds.
     Kill { process: usize, down: u64 },
-    /// A process stands still for so many milliseconds.
+    /// A process is paused for `ms` milliseconds.
     Pause { process: usize, ms: u64 },
-    /// A process is told to end, and started again.
+    /// A process gets SIGTERM, and is started again.
     Restart { process: usize },
-    /// A process is told that its settings changed.
+    /// A process gets SIGHUP after a change of its settings.
     Reload { process: usize },
-    /// Several processes are killed at one moment.
-    Herd { first: usize, count: usize, down: u64 },
-    /// A process's connections to the table are harmed.
-    Table { process: usize, mode: Mode, ms: u64 },
-    /// Other processes' connections to a process are harmed.
-    Peers { process: usize, mode: Mode, ms: u64 },
-    /// The table itself is in trouble.
-    Trouble { trouble: Trouble, ms: u64 },
-    /// The table forgets its history.
+    /// Several processes are killed at the same moment.
+    KillMany { first: usize, count: usize, down: u64 },
+    /// A process's connections to the table are disturbed.
+    TableLink { process: usize, mode: Mode, ms: u64 },
+    /// Other processes' connections to a process are disturbed.
+    PeerLinks { process: usize, mode: Mode, ms: u64 },
+    /// The table itself has a fault.
+    TableService { fault: TableFault, ms: u64 },
+    /// The table compacts its history.
     Compact,
-    /// A worker loses all it has and comes back after so many milliseconds.
-    Worker { worker: usize, dark: u64 },
-    /// A key is taken away and another given.
-    Key,
-    /// Starts at a worker get no answer for so many milliseconds, and are carried out later.
-    Late { worker: usize, ms: u64 },
-    /// Operators evacuate an availability zone for so many milliseconds.
+    /// A worker restarts without its state after `down` milliseconds.
+    RestartWorker { worker: usize, down: u64 },
+    /// The team's key is revoked and replaced.
+    RotateKey,
+    /// Starts at a worker get no reply for `ms` milliseconds, and are carried out later.
+    DelayStarts { worker: usize, ms: u64 },
+    /// Operators evacuate an availability zone for `ms` milliseconds.
     Evacuate { zone: usize, ms: u64 },
-    /// A worker loses so many accelerators for so many milliseconds.
+    /// A worker loses `lost` accelerators for `ms` milliseconds.
     Shrink { worker: usize, lost: u64, ms: u64 },
 }
 
-/// Times at which workers lose accelerators, drawn apart from the other faults.
+/// Draws the losses of accelerators, independently of the other faults.
 pub fn draw_shrinks(seed: u64, seconds: u64, workers: usize) -> Vec<(u64, Fault)> {
     let mut random = StdRng::seed_from_u64(!seed);
     let shrink = |random: &mut StdRng| Fault::Shrink {
@@ -51,45 +51,45 @@
     times.map(|at| (at, shrink(&mut random))).collect()
 }
 
-/// Times at which operators evacuate availability zones; drawn apart from the other faults.
+/// Draws the evacuations of availability zones, independently of the other faults.
 pub fn draw_evacuations(seed: u64, seconds: u64, zones: usize) -> Vec<(u64, Fault)> {
     let mut random = StdRng::seed_from_u64(seed.rotate_left(16) ^ !seed);
-    let mut one = |_| {
+    let mut draw_one = |_| {
         let at = random.random_range(0..seconds * 1000);
         let ms = random.random_range(2000..9000);
         (at, Fault::Evacuate { zone: random.random_range(0..zones), ms })
     };
-    (0..seconds / 2).map(&mut one).collect()
+    (0..seconds / 2).map(&mut draw_one).collect()
 }
 
-/// Times at which workers start again, most of them at once, or carry starts out late; drawn
-/// apart from the other faults.
+/// Draws restarts of workers, most with a short downtime, and delayed starts, independently of
+/// the other faults.
 pub fn draw_restarts(seed: u64, seconds: u64, workers: usize) -> Vec<(u64, Fault)> {
     let mut random = StdRng::seed_from_u64(seed.rotate_left(32) ^ !seed);
-    let one = |random: &mut StdRng| {
+    let draw_one = |random: &mut StdRng| {
         let worker = random.random_range(0..workers);
         match random.random_range(0..3) {
-            0 => Fault::Late { worker, ms: random.random_range(500..2000) },
-            _ => Fault::Worker { worker, dark: random.random_range(20..700) },
+            0 => Fault::DelayStarts { worker, ms: random.random_range(500..2000) },
+            _ => Fault::RestartWorker { worker, down: random.random_range(20..700) },
         }
     };
     let times = (700..seconds * 1000).step_by(600);
-    times.map(|at| (at, one(&mut random))).collect()
+    times.map(|at| (at, draw_one(&mut random))).collect()
 }
 
-/// Faults with their times, in milliseconds from the begin.
+/// Draws faults with their times, in milliseconds since the start of the run.
 pub fn draw(seed: u64, seconds: u64, processes: usize, workers: usize) -> Vec<(u64, Fault)> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut at = 500;
     let mut faults = Vec::new();
     while at < seconds * 1000 {
-        faults.push((at, one(&mut random, processes, workers)));
+        faults.push((at, draw_one(&mut random, processes, workers)));
         at += random.random_range(100..1500);
     }
     faults
 }
 
-fn one(random: &mut StdRng, processes: usize, workers: usize) -> Fault {
+fn draw_one(random: &mut StdRng, processes: usize, workers: usize) -> Fault {
     let process = random.random_range(0..processes);
     let ms = random.random_range(300..4000);
     match random.random_range(0..14) {
@@ -97,17 +97,17 @@
         2 => Fault::Pause { process, ms },
         3 => Fault::Restart { process },
         4 => Fault::Reload { process },
-        5 => Fault::Herd { first: process, count: processes / 2, down: ms / 2 },
-        6 | 7 => Fault::Table { process, mode: mode(random), ms },
-        8 | 9 => Fault::Peers { process, mode: mode(random), ms },
-        10 => Fault::Trouble { trouble: trouble(random), ms },
+        5 => Fault::KillMany { first: process, count: processes / 2, down: ms / 2 },
+        6 | 7 => Fault::TableLink { process, mode: proxy_mode(random), ms },
+        8 | 9 => Fault::PeerLinks { process, mode: proxy_mode(random), ms },
+        10 => Fault::TableService { fault: table_fault(random), ms },
         11 => Fault::Compact,
-        12 => Fault::Worker { worker: random.random_range(0..workers), dark: ms },
-        _ => Fault::Key,
+        12 => Fault::RestartWorker { worker: random.random_range(0..workers), down: ms },
+        _ => Fault::RotateKey,
     }
 }
 
-fn mode(random: &mut StdRng) -> Mode {
+fn proxy_mode(random: &mut StdRng) -> Mode {
     match random.random_range(0..4) {
         0 => Mode::Delay(random.random_range(20..300)),
         1 => Mode::Silent,
@@ -116,12 +116,12 @@
     }
 }
 
-fn trouble(random: &mut StdRng) -> Trouble {
+fn table_fault(random: &mut StdRng) -> TableFault {
     match random.random_range(0..5) {
-        0 => Trouble::Refusing,
-        1 => Trouble::Silent,
-        2 => Trouble::Slow(random.random_range(50..250)),
-        3 => Trouble::Lossy,
-        _ => Trouble::Late,
+        0 => TableFault::Refusing,
+        1 => TableFault::Unresponsive,
+        2 => TableFault::Slow(random.random_range(50..250)),
+        3 => TableFault::RepliesLost,
+        _ => TableFault::RepliesLostWritesDelayed,
     }
 }
--- /dev/null
+++ b/crates/stand-in/tests/soak/fleet.rs
@@ -0,0 +1,363 @@
+//! The simulated workers of a run: the tasks that they run, and how those end.
+
+use std::collections::BTreeMap;
+use std::time::Instant;
+
+use crate::checker::{Checker, Task};
+use crate::kind::Kind;
+use crate::proxy::{Mode, Proxy};
+
+/// Accelerators of a worker.
+pub const ACCELERATORS: u64 = 8;
+/// How long a member of a gang waits for the others, in milliseconds.
+const GANG_TIMEOUT_MS: u64 = 3000;
+/// Time from a stop to the end of the run, in milliseconds.
+const STOP_DURATION_MS: u64 = 50;
+/// Time from the start of a crashing task to the crash, in milliseconds.
+const CRASH_DELAY_MS: u64 = 10;
+/// How long a crashed worker is down, in milliseconds.
+const CRASH_DOWNTIME_MS: u64 = 1500;
+/// Reduced capacity is enforced only after this time, in milliseconds: the delay that the
+/// platform allows, and one heartbeat interval.
+const SHRINK_GRACE_MS: u64 = 3000 + 300;
+/// Workers of one rack, and of one availability zone.
+const WORKERS_PER_ZONE: usize = 3;
+/// Nothing starts in an evacuated availability zone after this time, in milliseconds.
+pub const EVACUATION_DEADLINE_MS: u64 = 5000;
+/// Longest lease, in milliseconds.
+pub const MAX_LEASE_MS: u64 = 6000;
+
+/// A start of a task.
+#[derive(Clone, Debug)]
+pub struct Run {
+    pub number: u64,
+    pub started_at: u64,
+    /// When its gang became complete; without a gang, when it started.
+    working_since: Option<u64>,
+    /// When a requested stop takes effect.
+    stops_at: Option<u64>,
+}
+
+/// An end that the worker lists until it is acknowledged.
+#[derive(Clone, Debug)]
+pub struct End {
+    pub number: u64,
+    pub task: Task,
+    pub run: u64,
+    pub how: &'static str,
+}
+
+/// One worker.
+#[derive(Default)]
+pub struct Worker {
+    pub incarnation: u64,
+    /// When its process started, on the run's clock; its own clock starts there. 0 where
+    /// workers do not keep their ids.
+    pub started_at: u64,
+    /// Its starts get no reply until then, on the run's clock.
+    pub starts_delayed_until: u64,
+    pub fence: u64,
+    pub lease: u64,
+    pub runs: BTreeMap<Task, Run>,
+    pub ended: Vec<End>,
+    pub next_end: u64,
+    /// Highest run of each task that was stopped or has ended here.
+    pub highest_ended: BTreeMap<Task, u64>,
+    /// It answers no call until then.
+    pub unavailable_until: u64,
+    /// Accelerators that are temporarily lost.
+    pub lost_accelerators: u64,
+    /// When the capacity last shrank.
+    shrunk_at: u64,
+}
+
+impl Worker {
+    /// Returns the number of usable accelerators.
+    pub fn capacity(&self) -> u64 {
+        ACCELERATORS - self.lost_accelerators
+    }
+}
+
+/// All workers, and the checker of what they do.
+pub struct Fleet {
+    created_at: Instant,
+    pub workers: Vec<Worker>,
+    pub checker: Checker,
+    /// The proxy in front of each worker; empty if the run has none.
+    pub proxies: Vec<Proxy>,
+    kind: Kind,
+    /// Availability zones under evacuation, with the time when it started.
+    evacuated: BTreeMap<usize, u64>,
+}
+
+impl Fleet {
+    pub fn new(workers: usize, kind: Kind) -> Fleet {
+        let worker = |_| Worker { incarnation: 1, ..Worker::default() };
+        let workers = (0..workers).map(worker).collect();
+        let (created_at, checker) = (Instant::now(), Checker::default());
+        Fleet {
+            created_at,
+            workers,
+            checker,
+            proxies: Vec::new(),
+            kind,
+            evacuated: BTreeMap::new(),
+        }
+    }
+
+    /// Returns the milliseconds since the run started.
+    pub fn now(&self) -> u64 {
+        self.created_at.elapsed().as_millis() as u64
+    }
+
+    /// Returns a worker's own clock, in milliseconds.
+    pub fn clock(&self, index: usize) -> u64 {
+        self.now().saturating_sub(self.workers[index].started_at)
+    }
+
+    /// Returns whether workers keep their ids when they restart.
+    pub fn keeps_ids(&self) -> bool {
+        self.kind.keeps_ids()
+    }
+
+    /// Returns whether the worker refuses starts beyond its capacity. Every second one does not
+    /// in the kinds with worker faults.
+    pub fn checks_capacity(&self, index: usize) -> bool {
+        !self.kind.harms_workers() || index.is_multiple_of(2)
+    }
+
+    /// Lets starts at a worker get no reply for `ms` milliseconds.
+    pub fn delay_starts(&mut self, index: usize, ms: u64) {
+        self.workers[index].starts_delayed_until = self.now() + ms;
+    }
+
+    /// Returns the accelerators in use, including those of runs that are being stopped.
+    pub fn used(&self, worker: usize) -> u64 {
+        self.workers[worker].runs.keys().map(|task| self.need(task)).sum()
+    }
+
+    /// Returns the accelerators that a task needs.
+    pub fn need(&self, task: &Task) -> u64 {
+        self.checker.jobs.get(&task.0).map_or(0, |job| job.steps[task.1 as usize].accelerators)
+    }
+
+    /// Sets the number of accelerators that a worker has lost.
+    pub fn resize(&mut self, index: usize, lost: u64) {
+        let now = self.now();
+        let worker = &mut self.workers[index];
+        if lost > worker.lost_accelerators {
+            worker.shrunk_at = now;
+        }
+        worker.lost_accelerators = lost;
+    }
+
+    /// Returns the availability zone of a worker.
+    pub fn zone(index: usize) -> usize {
+        index / WORKERS_PER_ZONE
+    }
+
+    /// Records that the evacuation of an availability zone starts or ends.
+    pub fn evacuate(&mut self, zone: usize, begins: bool) {
+        match begins {
+            true => {
+                _ = self
+                    .evacuated
+                    .entry(zone)
+                    .or_insert(self.created_at.elapsed().as_millis() as u64)
+            }
+            false => _ = self.evacuated.remove(&zone),
+        }
+    }
+
+    /// Starts a run; `on_time` is false for an order that is carried out late.
+    pub fn start_run(&mut self, index: usize, task: Task, number: u64, spec: &str, on_time: bool) {
+        let (now, incarnation) = (self.now(), self.workers[index].incarnation);
+        let since = self.evacuated.get(&Fleet::zone(index)).filter(|_| on_time);
+        if let Some(ms) = since.map(|since| now - since).filter(|ms| *ms > EVACUATION_DEADLINE_MS) {
+            self.checker.report(format!("EVAC {task:?}: {ms} ms after its zone was evacuated"));
+        }
+        let need = self.need(&task);
+        let worker = &self.workers[index];
+        let late = now >= worker.shrunk_at + SHRINK_GRACE_MS;
+        let room = if late { worker.capacity() } else { ACCELERATORS };
+        if self.used(index) + need > room {
+            let text = format!("LIMIT {task:?}: {} and {need} of {room}", self.used(index));
+            self.checker.report(text);
+        }
+        self.checker.on_start(index, incarnation, &task, number, spec);
+        let run = Run { number, started_at: now, working_since: None, stops_at: None };
+        self.workers[index].runs.insert(task, run);
+    }
+
+    /// Stops a run, or prevents it from starting later.
+    pub fn stop_run(&mut self, index: usize, task: &Task, number: u64) {
+        let now = self.now();
+        let worker = &mut self.workers[index];
+        let highest = worker.highest_ended.entry(task.clone()).or_default();
+        *highest = number.max(*highest);
+        if let Some(run) = worker.runs.get_mut(task).filter(|run| run.number == number) {
+            run.stops_at.get_or_insert(now + STOP_DURATION_MS);
+        }
+    }
+
+    /// Handles the acknowledgement of all ends up to `seen` as recorded.
+    pub fn acknowledge(&mut self, index: usize, seen: u64) {
+        let ended = std::mem::take(&mut self.workers[index].ended);
+        for end in ended {
+            if end.number <= seen {
+                self.checker.on_end_recorded(&end.task, end.how == "done", end.how == "failed");
+            } else {
+                self.workers[index].ended.push(end);
+            }
+        }
+    }
+
+    /// Restarts a worker without its state, under a new id or the same one.
+    pub fn restart_worker(&mut self, index: usize, down_ms: u64) {
+        let now = self.now();
+        let incarnation = self.workers[index].incarnation;
+        let runs = std::mem::take(&mut self.workers[index].runs);
+        let started_at = if self.keeps_ids() { now + down_ms } else { 0 };
+        let unavailable_until = now + down_ms;
+        self.workers[index] = Worker {
+            incarnation: incarnation + 1,
+            started_at,
+            unavailable_until,
+            ..Worker::default()
+        };
+        if self.keeps_ids() {
+            self.proxies[index].set(Mode::Reset);
+        }
+        for (task, run) in runs {
+            self.checker.on_run_over(index, incarnation, &task, run.number);
+            self.end_other_members(&task, run.number, "broken");
+        }
+    }
+
+    /// Advances the simulation: gangs become complete, runs end, leases lapse.
+    pub fn tick(&mut self) {
+        let now = self.now();
+        self.mark_complete_gangs(now);
+        self.crash_workers(now);
+        for index in 0..self.workers.len() {
+            let lapsed = now >= self.workers[index].lease;
+            let runs: Vec<(Task, Run)> = self.workers[index]
+                .runs
+                .iter()
+                .map(|(task, run)| (task.clone(), run.clone()))
+                .collect();
+            for (task, run) in runs {
+                if let Some(how) = self.end_reason(&task, &run, lapsed, now) {
+                    self.end_run(index, &task, run.number, how);
+                }
+            }
+        }
+    }
+
+    /// Crashes the workers that run a crashing task; ends the downtime of others.
+    fn crash_workers(&mut self, now: u64) {
+        for index in 0..self.proxies.len() {
+            let crashing = |(task, run): &(&Task, &Run)| {
+                self.checker.crashes_workers(task) && now >= run.started_at + CRASH_DELAY_MS
+            };
+            let crashing: Vec<Task> = self.workers[index]
+                .runs
+                .iter()
+                .filter(crashing)
+                .map(|(task, _)| task.clone())
+                .collect();
+            if !crashing.is_empty() {
+                crashing.iter().for_each(|task| self.checker.on_crash(task));
+                self.restart_worker(index, CRASH_DOWNTIME_MS);
+                self.proxies[index].set(Mode::Reset);
+            } else if now >= self.workers[index].unavailable_until {
+                self.proxies[index].set(Mode::Pass);
+            }
+        }
+    }
+
+    /// Marks members of complete gangs, and all runs outside gangs, as working.
+    fn mark_complete_gangs(&mut self, now: u64) {
+        let mut present: BTreeMap<(String, u32, u64), u32> = BTreeMap::new();
+        for (task, run) in self.workers.iter().flat_map(|worker| &worker.runs) {
+            *present.entry((task.0.clone(), task.1, run.number)).or_default() += 1;
+        }
+        let Fleet { workers, checker, .. } = self;
+        for (task, run) in workers.iter_mut().flat_map(|worker| &mut worker.runs) {
+            let Some(job) = checker.jobs.get(&task.0) else { continue };
+            let step = &job.steps[task.1 as usize];
+            let here = present.get(&(task.0.clone(), task.1, run.number)).copied().unwrap_or(0);
+            if run.working_since.is_none() && (!step.gang || here == step.count) {
+                run.working_since = Some(now);
+            }
+        }
+    }
+
+    fn end_reason(&self, task: &Task, run: &Run, lapsed: bool, now: u64) -> Option<&'static str> {
+        let job = self.checker.jobs.get(&task.0)?;
+        let step = &job.steps[task.1 as usize];
+        let fails = job.fail_interval > 0
+            && (run.number + u64::from(task.2)).is_multiple_of(job.fail_interval);
+        match run.working_since {
+            _ if lapsed => Some("lapsed"),
+            _ if run.stops_at.is_some_and(|at| now >= at) => Some("stopped"),
+            None => (now >= run.started_at + GANG_TIMEOUT_MS).then_some("alone"),
+            Some(working_since) if now >= working_since + step.ms => {
+                Some(if fails { "failed" } else { "done" })
+            }
+            Some(_) => None,
+        }
+    }
+
+    /// Ends a run, and with it the other members of its gang.
+    fn end_run(&mut self, index: usize, task: &Task, number: u64, how: &'static str) {
+        if !self.record_end(index, task, number, how) {
+            return;
+        }
+        match how {
+            "alone" => {}
+            "done" => self.end_other_members(task, number, "done"),
+            _ => self.end_other_members(task, number, "broken"),
+        }
+    }
+
+    /// Ends the other members of a gang; does nothing for a task outside gangs.
+    fn end_other_members(&mut self, task: &Task, number: u64, how: &'static str) {
+        let gang =
+            self.checker.jobs.get(&task.0).is_some_and(|job| job.steps[task.1 as usize].gang);
+        if !gang {
+            return;
+        }
+        let members: Vec<(usize, Task)> = (0..self.workers.len())
+            .flat_map(|index| {
+                self.workers[index].runs.iter().map(move |(task, run)| (index, task, run))
+            })
+            .filter(|(_, member, run)| {
+                member.0 == task.0 && member.1 == task.1 && run.number == number
+            })
+            .map(|(index, member, _)| (index, member.clone()))
+            .collect();
+        for (index, member) in members {
+            self.record_end(index, &member, number, how);
+        }
+    }
+
+    fn record_end(&mut self, index: usize, task: &Task, run: u64, how: &'static str) -> bool {
+        let incarnation = self.workers[index].incarnation;
+        let worker = &mut self.workers[index];
+        if worker.runs.get(task).is_none_or(|known| known.number != run) {
+            return false;
+        }
+        worker.runs.remove(task);
+        worker.next_end += 1;
+        let end = End { number: worker.next_end, task: task.clone(), run, how };
+        worker.ended.push(end);
+        let highest = worker.highest_ended.entry(task.clone()).or_default();
+        *highest = run.max(*highest);
+        self.checker.on_run_over(index, incarnation, task, run);
+        if how == "done" {
+            self.checker.on_done(task);
+        }
+        true
+    }
+}
--- a/crates/stand-in/tests/soak/keys.rs
+++ b/crates/stand-in/tests/soak/keys.rs
@@ -1,31 +1,30 @@
-//! The teams' keys of a run, and the configuration that holds them.
+//! The team's API keys of a run, and the configuration that contains them.
 
 use std::time::Instant;
 
 use serde_json::json;
 
-use crate::judge::ATTEMPTS;
+use crate::checker::MAX_FAILURES;
 
-/// The key that the configuration has, and those that it had.
+/// The current key and the revoked ones.
 #[derive(Default)]
 pub struct Keys {
     version: u64,
     pub current: String,
-    /// Keys that were taken away, and when.
-    pub gone: Vec<(String, Instant)>,
+    /// Revoked keys, with the time of the revocation.
+    pub revoked: Vec<(String, Instant)>,
 }
 
 impl Keys {
-    /// Takes the current key away and gives another; returns the configuration that does so, and
-    /// the key that it takes away.
-    pub fn change(&mut self) -> (String, String) {
+    /// Replaces the current key. Returns the configuration to publish, and the revoked key.
+    pub fn rotate(&mut self) -> (String, String) {
         self.version += 1;
         let current = format!("key-{}", self.version);
         let former = std::mem::replace(&mut self.current, current);
         let route = |name: &str, priority: u32| {
             json!({
                 "name": name, "host": "soak.example", "pathPrefix": format!("/{name}/"),
-                "service": "pool", "priority": priority, "attempts": ATTEMPTS, "stretch": 2.0,
+                "service": "pool", "priority": priority, "attempts": MAX_FAILURES, "stretch": 2.0,
                 "sloMs": 1000,
             })
         };
--- a/crates/stand-in/tests/soak/kind.rs
+++ b/crates/stand-in/tests/soak/kind.rs
@@ -1,23 +1,23 @@
 //! Kinds of runs.
 
-/// What goes wrong in a run. A seed that once failed belongs to the kind that it failed in.
+/// Which faults a run injects. A seed reproduces a failure only with the kind that it failed with.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// Processes, connections, the table, and workers by themselves.
+    /// Faults of processes, connections and the table, and restarts of workers.
     Faults,
-    /// Besides, tasks crash their workers, workers lose room for a while, every second of which
-    /// does not check for itself, and the platform lists machines.
+    /// Also, tasks crash their workers, workers lose capacity for a while, every second worker
+    /// does not check its own capacity, and the platform lists machines.
     Workers,
-    /// Besides, workers start again under the ids that they had, with counts that start anew,
-    /// starts are carried out late without an answer, and at the end everything loses power at
-    /// the same moment. What a worker has not carried out when it starts again it never does.
+    /// Also, workers restart under the same ids with counters reset, starts are carried out late
+    /// without a reply, and at the end everything loses power at the same moment. A restarted
+    /// worker never carries out what it received before.
     Restarts,
-    /// Besides, operators evacuate availability zones.
+    /// Also, operators evacuate availability zones.
     Evacuations,
 }
 
 impl Kind {
-    /// Its word on the command line and in names of runs.
+    /// Returns its name on the command line and in names of runs.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Faults => "faults",
@@ -27,17 +27,17 @@
         }
     }
 
-    /// True if workers go wrong as [`Kind::Workers`] tells.
+    /// Returns whether the worker faults of [`Kind::Workers`] are injected.
     pub fn harms_workers(self) -> bool {
         self != Kind::Faults
     }
 
-    /// True if workers keep their ids.
+    /// Returns whether workers keep their ids when they restart.
     pub fn keeps_ids(self) -> bool {
         matches!(self, Kind::Restarts | Kind::Evacuations)
     }
 
-    /// True if operators evacuate availability zones.
+    /// Returns whether operators evacuate availability zones.
     pub fn evacuates(self) -> bool {
         self == Kind::Evacuations
     }
--- a/crates/stand-in/tests/soak/main.rs
+++ b/crates/stand-in/tests/soak/main.rs
@@ -1,38 +1,39 @@
 //! A randomized soak of the real programs as separate processes.
 //!
-//! Entries and agents run as they ship, against stand-ins for the platform's
+//! The shipped entry and agent programs run against stand-ins for the platform's
 //! table, workers and clients. A seed draws the faults: processes are stopped,
 //! paused, killed and restarted by signals; connections pass loopback proxies
-//! that delay, reset, silence or cut them one way; the table is down, slow,
-//! loses answers or its history; workers die and come back; keys are taken
-//! away. Where workers are what goes wrong, tasks crash those that start them, and
-//! the platform lists machines. Faults overlap. What clients and workers see is
-//! judged all the while, and after the faults every accepted job must end.
+//! that delay, reset, block or block one direction; the table is down, slow,
+//! loses replies or its history; workers crash and restart; keys are revoked. In
+//! the kinds with worker faults, tasks crash the workers that start them, and the
+//! platform lists machines. Faults overlap. Everything that clients and workers
+//! observe is checked during the run, and after the faults every accepted job
+//! must end.
 //!
-//! Run without arguments it plays the seeds that once failed and a few others,
-//! for a short while each. By hand:
+//! Without arguments it runs the CI seeds, some of which once failed, for a few
+//! seconds each. By hand:
 //!
 //! ```text
 //! cargo test -p quincewheel-stand-in --test soak -- --fresh 50 --seconds 15
 //! cargo test -p quincewheel-stand-in --test soak -- --seed 7 --logs /tmp/soak
 //! ```
 
-mod answers;
+mod bad_calls;
+mod checker;
 mod client;
 mod cut_off;
+mod deployment;
 mod fault;
-mod hall;
-mod judge;
+mod fleet;
 mod keys;
 mod kind;
 mod machines;
 mod net;
 mod process;
 mod proxy;
-mod setup;
+mod settings;
 mod table;
 mod worker;
-mod world;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -40,41 +41,43 @@
 use getopts::Options;
 use rand::random;
 
+use deployment::{Deployment, Outcome};
 use kind::Kind;
-use world::{Outcome, World};
 
-/// Seeds that CI plays, both of which failed.
+/// Seeds of [`Kind::Faults`] that CI runs; both once failed.
 ///
-/// - 366129, at twelve seconds: a job that had ended began anew. All rows were read
-///   again after the table forgot its history, by a call that was answered before
-///   the job's last record.
+/// - 366129, at twelve seconds: a job that had ended started again. After the table
+///   compacted its history, all rows were read again by a call that was answered
+///   before the job's last record.
 /// - Both, before the first fault: an entry that had not read the configuration yet
-///   answered a bad call by 503, as it must, and the check took any entry's first
-///   right answer for the start of all.
-const SEEDS: [u64; 2] = [1, 366_129];
-/// Seeds with tasks that crash their workers, for CI, both of which failed.
+///   answered a bad call by 503, as it must, but the check took the first right
+///   answer of any entry as proof that all were ready.
+const FAULT_SEEDS: [u64; 2] = [1, 366_129];
+/// Seeds of [`Kind::Workers`] that CI runs; both once failed.
 ///
-/// - 3: a crash was not counted where the worker's next life was known only later.
-/// - 83187: members of a gang that waited for another cleared it of all crashes.
-const CRASHES: [u64; 2] = [3, 83_187];
-/// Seeds with workers that keep their ids, for CI, all of which failed.
+/// - 3: a crash was not counted if the worker's next incarnation became known only
+///   later.
+/// - 83187: members of a gang that waited for another member cleared its crashes.
+const CRASH_SEEDS: [u64; 2] = [3, 83_187];
+/// Seeds of [`Kind::Restarts`] that CI runs; all once failed.
 ///
-/// - 659637, at ten seconds: a worker carried out a start that its former incarnation had not, as
-///   the first thing that it did. No worker does: it knows nothing of before.
-/// - 356530, at ten seconds on a busy machine: a task was started thrice after its fifth crash, as
-///   agents learned of two crashes too late to name the start, and one ended with its agent.
-/// - 455598, at eight seconds: a task that crashes its workers was started thrice after its fifth
-///   crash, of which two named no start, and one ended with its agent.
-const RESTARTS: [u64; 3] = [356_530, 455_598, 659_637];
-/// Seeds with zones that are evacuated, for CI.
+/// - 659637, at ten seconds: the simulated worker carried out a start that its previous
+///   incarnation had received. Real workers keep nothing across a restart.
+/// - 356530, at ten seconds on a busy machine: a task started three times after its fifth crash,
+///   because agents learned of two crashes too late to attribute them to a start, and one crash
+///   was lost with its agent.
+/// - 455598, at eight seconds: a task that crashes its workers started three times after its fifth
+///   crash; two crashes were attributed to no start, and one was lost with its agent.
+const RESTART_SEEDS: [u64; 3] = [356_530, 455_598, 659_637];
+/// Seeds of [`Kind::Evacuations`] that CI runs.
 ///
-/// - 594141 failed, at eight seconds: a gang was given up, as workers that restarted by themselves
-///   did so three times in a row within 250 ms of its start.
-const EVACUATIONS: [u64; 2] = [35, 594_141];
-/// Names the run in which one entry alone is cut off from the table.
-const CUT_OFF: &str = "soak_cut_off";
-/// Seconds of faults in CI.
-const SHORT: u64 = 8;
+/// - 594141 once failed, at eight seconds: a gang was given up because workers restarted, for
+///   other reasons, three times in a row within 250 ms of its start.
+const EVACUATION_SEEDS: [u64; 2] = [35, 594_141];
+/// Name of the run in which one entry at a time is cut off from the table.
+const CUT_OFF_TEST: &str = "soak_cut_off";
+/// Seconds for which faults are injected unless an option sets it.
+const DEFAULT_SECONDS: u64 = 8;
 
 fn main() -> ExitCode {
     let mut options = Options::new();
@@ -90,14 +93,14 @@
     options.optopt("", "logs", "keep the processes' logs in this folder", "DIR");
     options.optmulti("", "skip", "leave out those whose names contain this", "NAME");
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let Ok(given) = options.parse(&args) else {
+    let Ok(matches) = options.parse(&args) else {
         eprintln!("{}", options.usage("soak [options]"));
         return ExitCode::FAILURE;
     };
-    let number = |name: &str| given.opt_str(name).and_then(|text| text.parse().ok());
-    let seconds = number("seconds").unwrap_or(SHORT);
-    let logs: Option<PathBuf> = given.opt_str("logs").map(PathBuf::from);
-    let kind = match given.opt_str("kind").as_deref() {
+    let number = |name: &str| matches.opt_str(name).and_then(|text| text.parse().ok());
+    let seconds = number("seconds").unwrap_or(DEFAULT_SECONDS);
+    let logs: Option<PathBuf> = matches.opt_str("logs").map(PathBuf::from);
+    let kind = match matches.opt_str("kind").as_deref() {
         Some("faults") => Kind::Faults,
         Some("workers") => Kind::Workers,
         Some("restarts") | None => Kind::Restarts,
@@ -111,28 +114,29 @@
         (Some(seed), _) => vec![(seed, kind)],
         (None, Some(count)) => (0..count).map(|_| (random::<u64>() % 1_000_000, kind)).collect(),
         (None, None) => {
-            let plain = SEEDS.iter().map(|seed| (*seed, Kind::Faults));
-            let crashes = CRASHES.iter().map(|seed| (*seed, Kind::Workers));
-            let restarts = RESTARTS.iter().map(|seed| (*seed, Kind::Restarts));
-            let zones = EVACUATIONS.iter().map(|seed| (*seed, Kind::Evacuations));
-            plain.chain(crashes).chain(restarts).chain(zones).collect()
+            let faults = FAULT_SEEDS.iter().map(|seed| (*seed, Kind::Faults));
+            let crashes = CRASH_SEEDS.iter().map(|seed| (*seed, Kind::Workers));
+            let restarts = RESTART_SEEDS.iter().map(|seed| (*seed, Kind::Restarts));
+            let zones = EVACUATION_SEEDS.iter().map(|seed| (*seed, Kind::Evacuations));
+            faults.chain(crashes).chain(restarts).chain(zones).collect()
         }
     };
-    let scripted = number("seed").is_none() && number("fresh").is_none();
-    // As other test programs do: all names that contain one of those given, but for the skipped.
-    let skipped = given.opt_strs("skip");
+    let runs_ci_seeds = number("seed").is_none() && number("fresh").is_none();
+    // Filters as in libtest: names that contain any of the free arguments, without the skipped.
+    let skipped = matches.opt_strs("skip");
     let chosen = |name: &str| {
-        let named = given.free.is_empty() || given.free.iter().any(|part| name.contains(part));
+        let named = matches.free.is_empty() || matches.free.iter().any(|part| name.contains(part));
         named && !skipped.iter().any(|part| name.contains(part))
     };
     let mut failed = Vec::new();
-    if scripted && chosen(CUT_OFF) {
-        report(CUT_OFF, &cut_off::play(), &mut failed);
+    if runs_ci_seeds && chosen(CUT_OFF_TEST) {
+        report(CUT_OFF_TEST, &cut_off::run(), &mut failed);
     }
     for (seed, kind) in seeds {
         let name = format!("soak_{}_seed_{seed}", kind.name());
         if chosen(&name) {
-            let Outcome { violations, line } = World::play(seed, seconds, kind, logs.as_deref());
+            let Outcome { violations, line } =
+                Deployment::run_seed(seed, seconds, kind, logs.as_deref());
             println!("seed {seed}: {line}");
             report(&name, &violations, &mut failed);
         }
@@ -141,7 +145,7 @@
     if failed.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// Tells how one run ended, in the words of other test programs.
+/// Prints the result of one run in libtest's format.
 fn report(name: &str, violations: &[String], failed: &mut Vec<String>) {
     let verdict = if violations.is_empty() { "ok" } else { "FAILED" };
     println!("test {name} ... {verdict}");
--- a/crates/stand-in/tests/soak/net.rs
+++ b/crates/stand-in/tests/soak/net.rs
@@ -10,12 +10,12 @@
     second: u8,
 }
 
-/// Blocks of addresses that there are; each run takes one.
+/// Number of address blocks; each run takes one.
 pub const BLOCKS: u32 = 250 * 80;
-/// Blocks between those of two processes whose ids are neighbours.
-const RUNS: u32 = 64;
+/// Blocks reserved for each process id.
+const BLOCKS_PER_PROCESS: u32 = 64;
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
 
 /// Ports that all processes use, each on its own address.
 pub const PEERS: u16 = 7400;
@@ -27,42 +27,43 @@
 pub const MACHINES: u16 = 7406;
 
 impl Net {
-    /// The next block. Another process may have it: ids that are a multiple of 625
-    /// apart begin with the same one, and servers of earlier runs live as long as
-    /// their process.
+    /// Returns the next block. Another process may use it: process ids that differ
+    /// by a multiple of 625 start at the same one, and servers of earlier runs stay
+    /// until their process ends.
     pub fn next() -> Net {
-        let id = std::process::id() * RUNS + NEXT.fetch_add(1, Ordering::Relaxed);
+        let id =
+            std::process::id() * BLOCKS_PER_PROCESS + RUN_COUNT.fetch_add(1, Ordering::Relaxed);
         // 127.0 and 127.1 are left to others; the third byte leaves room for
         // the proxies'.
         Net { first: 2 + (id / 80 % 250) as u8, second: 3 * (id % 80) as u8 }
     }
 
-    /// Where a process listens.
+    /// Returns the address at which a process listens.
     pub fn own(self, host: u8, port: u16) -> String {
         format!("127.{}.{}.{host}:{port}", self.first, self.second)
     }
 
-    /// The address of a process without a port.
+    /// Returns the address of a process without a port.
     pub fn ip(self, host: u8) -> String {
         format!("127.{}.{}.{host}", self.first, self.second)
     }
 
-    /// Where others reach a process's port for other processes.
+    /// Returns the address of the proxy to a process's peer port.
     pub fn before(self, host: u8) -> String {
         format!("127.{}.{}.{host}:{PEERS}", self.first, self.second + 1)
     }
 
-    /// Where a worker's agent reaches it.
+    /// Returns the address of the proxy from an agent to its worker.
     pub fn to_worker(self, host: u8) -> String {
         format!("127.{}.{}.{host}:{WORKER}", self.first, self.second + 1)
     }
 
-    /// Where a process reaches the table.
+    /// Returns the address of the proxy from a process to the table.
     pub fn to_table(self, host: u8) -> String {
         format!("127.{}.{}.{host}:{TABLE}", self.first, self.second + 2)
     }
 
-    /// Replaces the address that a process announces by that of its proxy.
+    /// Replaces the address that a process announces by the address of its proxy.
     pub fn proxied(self, text: &str) -> String {
         let own = format!("127.{}.{}.", self.first, self.second);
         text.replace(&own, &format!("127.{}.{}.", self.first, self.second + 1))
--- a/crates/stand-in/tests/soak/process.rs
+++ b/crates/stand-in/tests/soak/process.rs
@@ -1,4 +1,4 @@
-//! The shipped programs as processes that signals reach.
+//! The shipped programs as child processes that are controlled by signals.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
     Hangup,
 }
 
-/// One of the programs, running or between two lives.
+/// One of the programs, running or stopped.
 pub struct Process {
     pub name: String,
     program: PathBuf,
@@ -37,7 +37,7 @@
         process
     }
 
-    /// Starts it again.
+    /// Starts the process.
     pub fn start(&mut self) {
         let output = match &self.logs {
             Some(path) => File::options().create(true).append(true).open(path).unwrap().into(),
@@ -66,15 +66,14 @@
         let _ = Command::new("kill").args([number, &child.id().to_string()]).status();
     }
 
-    /// Changes a bound in its settings file, and adds a field that it does not
-    /// know.
+    /// Changes a bound in its settings file, and adds an unknown field.
     pub fn change_settings(&self) {
         let text = std::fs::read_to_string(&self.settings).unwrap();
         let text = text.replace("reclaimMs = 2700", "reclaimMs = 2600\nunknown = true");
         std::fs::write(&self.settings, text).unwrap();
     }
 
-    /// Kills it at once.
+    /// Sends SIGKILL and waits for the end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -82,7 +81,7 @@
         }
     }
 
-    /// Waits for its end; false if it still runs after `bound`.
+    /// Waits for its end; returns false if it still runs after `bound`.
     pub fn ended(&mut self, bound: Duration) -> bool {
         let end = Instant::now() + bound;
         while let Some(child) = &mut self.child {
@@ -97,7 +96,7 @@
         true
     }
 
-    /// True if it ended by itself.
+    /// Returns whether it exited without a signal from this run.
     pub fn died(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(Some(_))))
     }
--- a/crates/stand-in/tests/soak/proxy.rs
+++ b/crates/stand-in/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! Loopback proxies that harm what passes them.
+//! Loopback proxies that disturb the connections through them.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -9,14 +9,14 @@
 /// What a proxy does to its connections.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Mode {
-    /// Passes everything on.
+    /// Forwards everything.
     #[default]
     Pass,
-    /// Passes everything on late, by so many milliseconds a piece.
+    /// Delays each chunk by this many milliseconds.
     Delay(u64),
-    /// Passes nothing on, and new connections neither.
+    /// Forwards nothing, on open and new connections.
     Silent,
-    /// Passes nothing on towards the process that is called.
+    /// Forwards nothing towards the called process, but its replies.
     OneWay,
     /// Closes connections at once.
     Reset,
@@ -34,11 +34,11 @@
     open: Vec<TcpStream>,
 }
 
-/// How often a connection that is held looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often a blocked connection checks whether it may go on.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Proxy {
-    /// A proxy from `from` to `to`.
+    /// Starts a proxy that listens on `from` and connects to `to`.
     pub fn bind(from: &str, to: &str) -> std::io::Result<Proxy> {
         let listener = TcpListener::bind(from)?;
         let proxy = Proxy { state: Arc::default() };
@@ -51,7 +51,7 @@
         Ok(proxy)
     }
 
-    /// Changes what becomes of connections, open ones too.
+    /// Changes the mode for new and open connections.
     pub fn set(&self, mode: Mode) {
         let mut state = self.state.lock().unwrap();
         state.mode = mode;
@@ -84,7 +84,7 @@
         let mut buffer = [0; 16 << 10];
         while let Ok(length @ 1..) = from.read(&mut buffer) {
             while self.holds(towards) {
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
             }
             if let Mode::Delay(ms) = self.mode() {
                 thread::sleep(Duration::from_millis(ms));
--- a/crates/stand-in/tests/soak/setup.rs
+++ b/crates/stand-in/tests/soak/settings.rs
@@ -1,13 +1,13 @@
-//! What a run's processes are, and what they are told.
+//! Programs, names and settings files of a run's processes.
 
 use std::path::PathBuf;
 
-use crate::hall::EVACUATE;
+use crate::deployment::{ENTRIES, REVOCATION_DEADLINE, SHUTDOWN_GRACE_S};
+use crate::fleet::EVACUATION_DEADLINE_MS;
 use crate::kind::Kind;
 use crate::net::{self, Net};
-use crate::world::{ENTRIES, GRACE, REVOKE};
 
-/// Where a program is: beside this one.
+/// Returns the path of a program, in the folder of the test binary.
 pub fn program(name: &str) -> PathBuf {
     let mut folder = std::env::current_exe().unwrap();
     folder.pop();
@@ -17,7 +17,7 @@
     folder.join(name)
 }
 
-/// A process's name.
+/// Returns the name of a process.
 pub fn name(index: usize) -> String {
     match index.checked_sub(ENTRIES) {
         None => format!("entry-{index}"),
@@ -25,12 +25,21 @@
     }
 }
 
-/// The platform's settings file of a process; `list` is where machines are listed, if they are.
-pub fn settings(net: Net, index: usize, host: u8, list: Option<&str>, kind: Kind) -> String {
+/// Returns the settings file of a process. `machine_list` is the address of the platform's list
+/// of machines, if there is one.
+pub fn settings(
+    net: Net,
+    index: usize,
+    host: u8,
+    machine_list: Option<&str>,
+    kind: Kind,
+) -> String {
     let name = name(index);
-    let cloud = list.map(|list| format!("[cloud]\naddress = \"{list}\"\n")).unwrap_or_default();
+    let cloud = machine_list
+        .map(|machine_list| format!("[cloud]\naddress = \"{machine_list}\"\n"))
+        .unwrap_or_default();
     let evacuate = match kind.evacuates() {
-        true => format!("evacuateMs = {EVACUATE}\n"),
+        true => format!("evacuateMs = {EVACUATION_DEADLINE_MS}\n"),
         false => String::new(),
     };
     let listen = match index < ENTRIES {
@@ -44,13 +53,13 @@
     format!(
         "node = \"{name}\"\nip = \"{}\"\nzone = \"z\"\nportRange = [{}, {}]\n\
          [listen]\n{listen}\n\
-         [bounds]\ngraceS = {GRACE}\nrevokeMs = {}\nmaxHoldMs = 6000\nstopTimeoutMs = 50\n\
+         [bounds]\ngraceS = {SHUTDOWN_GRACE_S}\nrevokeMs = {}\nmaxHoldMs = 6000\nstopTimeoutMs = 50\n\
          reclaimMs = 2700\nstatus_s = 120\n{evacuate}\
          [platform]\naddress = \"{}\"\n{cloud}",
         net.ip(host),
         net::PEERS,
         net::PEERS,
-        REVOKE.as_millis(),
+        REVOCATION_DEADLINE.as_millis(),
         net.to_table(host),
     )
 }
--- a/crates/stand-in/tests/soak/table.rs
+++ b/crates/stand-in/tests/soak/table.rs
@@ -1,4 +1,4 @@
-//! The platform's table, as the page of its protocol tells it, with its faults.
+//! A stand-in for the platform's table and its protocol, with fault injection.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -12,21 +12,21 @@
 
 use crate::net::Net;
 
-/// What is wrong with the table.
+/// A fault of the table.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Trouble {
+pub enum TableFault {
     #[default]
     None,
     /// Refuses every call.
     Refusing,
-    /// Answers no call, and performs none.
-    Silent,
-    /// Takes so many milliseconds for each call.
+    /// Replies to no call, and performs none.
+    Unresponsive,
+    /// Takes this many milliseconds for each call.
     Slow(u64),
-    /// Performs writes and loses every other answer.
-    Lossy,
-    /// Loses every other answer and performs that write a second later.
-    Late,
+    /// Performs writes and loses every other reply.
+    RepliesLost,
+    /// Loses every other reply and performs that write a second later.
+    RepliesLostWritesDelayed,
 }
 
 /// Rows, and the changes to them.
@@ -36,16 +36,16 @@
     rows: BTreeMap<(String, String, String), (u64, String)>,
     changes: VecDeque<(u64, String, String, Option<String>)>,
     version: u64,
-    /// Changes up to this version are forgotten.
+    /// Changes up to this version are compacted.
     forgotten: u64,
-    pub trouble: Trouble,
+    pub fault: TableFault,
     writes: u64,
-    /// Replaces addresses by those of proxies in what is read.
+    /// Replaces addresses in rows that are read by those of proxies.
     net: Option<Net>,
 }
 
 #[derive(Deserialize)]
-struct Named {
+struct NamedRow {
     table: String,
     #[serde(default)]
     part: String,
@@ -59,17 +59,17 @@
 #[derive(Deserialize)]
 struct Transaction {
     #[serde(default)]
-    expected: Vec<Named>,
+    expected: Vec<NamedRow>,
     #[serde(default, rename = "setKeys")]
-    set: Vec<Named>,
+    set: Vec<NamedRow>,
     #[serde(default)]
-    delete: Vec<Named>,
+    delete: Vec<NamedRow>,
     #[serde(default)]
     across: bool,
 }
 
 impl Transaction {
-    /// True if all its rows lie in one part, or it says that they do not.
+    /// Returns whether all its rows are in one part, or it is marked as crossing parts.
     fn is_allowed(&self) -> bool {
         let mut named = self.expected.iter().chain(&self.set).chain(&self.delete);
         let first = named.next().map(|named| named.part.as_str());
@@ -77,14 +77,14 @@
     }
 }
 
-/// Most rows in one answer.
-const PAGE: usize = 500;
-/// Most changes that are remembered.
-const HISTORY: usize = 20_000;
-/// How often a call that waits for a change looks for one.
-const LOOK: Duration = Duration::from_millis(10);
-/// What a call that is not answered is held for.
-const HELD: Duration = Duration::from_secs(20);
+/// Maximum number of rows in one reply, unless the call sets it.
+const DEFAULT_PAGE_SIZE: usize = 500;
+/// Maximum number of changes in the history.
+const MAX_CHANGES: usize = 20_000;
+/// How often a call that waits for a change checks for one.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long a call without a reply is held open.
+const HOLD_TIME: Duration = Duration::from_secs(20);
 
 impl Table {
     pub fn open(net: Net) -> Table {
@@ -97,13 +97,13 @@
         self.set((table, "", key), Some(STANDARD.encode(value)));
     }
 
-    /// Drops a row as an operator.
+    /// Deletes a row as an operator.
     pub fn remove(&mut self, table: &str, key: &str) {
         self.version += 1;
         self.set((table, "", key), None);
     }
 
-    /// Forgets which rows changed when.
+    /// Drops the history of changes.
     pub fn compact(&mut self) {
         self.changes.clear();
         self.forgotten = self.version;
@@ -117,7 +117,7 @@
             None => _ = self.rows.remove(&row),
         }
         self.changes.push_back((version, table.to_owned(), key.to_owned(), value));
-        if self.changes.len() > HISTORY
+        if self.changes.len() > MAX_CHANGES
             && let Some((version, ..)) = self.changes.pop_front()
         {
             self.forgotten = version;
@@ -125,7 +125,7 @@
     }
 
     fn commit(&mut self, transaction: &Transaction) -> (u16, Value) {
-        let holds = |named: &Named| {
+        let holds = |named: &NamedRow| {
             let row = self.rows.get(&(named.table.clone(), named.part.clone(), named.key.clone()));
             row.map_or(0, |(version, _)| *version) == named.ver
         };
@@ -149,7 +149,8 @@
         let text = |name: &str| query.get(name).cloned().unwrap_or_default();
         let (table, part) = (text("table"), text("part"));
         let (from, to) = (text("from"), text("to"));
-        let limit = query.get("limit").and_then(|text| text.parse().ok()).unwrap_or(PAGE);
+        let limit =
+            query.get("limit").and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_PAGE_SIZE);
         let inside = |key: &str| key >= from.as_str() && (to.is_empty() || key < to.as_str());
         let mut found: Vec<Value> = self
             .rows
@@ -168,16 +169,16 @@
             return json!({ "key": key, "ver": version, "deleted": true });
         };
         let plain = STANDARD.decode(value).ok().and_then(|bytes| String::from_utf8(bytes).ok());
-        let told = match (plain, self.net) {
+        let value_read = match (plain, self.net) {
             (Some(text), Some(net)) if key.starts_with("node/") => {
                 STANDARD.encode(net.proxied(&text))
             }
             _ => value.clone(),
         };
-        json!({ "key": key, "ver": version, "value": told })
+        json!({ "key": key, "ver": version, "value": value_read })
     }
 
-    /// Changes after a version; none if they are forgotten.
+    /// Returns the changes after a version; `None` if they are compacted.
     fn feed(&self, table: &str, after: u64) -> Option<Vec<Value>> {
         if after < self.forgotten {
             return None;
@@ -199,41 +200,42 @@
     let Body::Whole(body) = quincewheel_http::read(&mut request, 1 << 20).await else {
         return reply(400, &json!({}));
     };
-    let trouble = table.lock().unwrap().trouble;
-    match trouble {
-        Trouble::Refusing => return reply(503, &json!({})),
-        Trouble::Silent => {
-            tokio::time::sleep(HELD).await;
+    let fault = table.lock().unwrap().fault;
+    match fault {
+        TableFault::Refusing => return reply(503, &json!({})),
+        TableFault::Unresponsive => {
+            tokio::time::sleep(HOLD_TIME).await;
             return reply(503, &json!({}));
         }
-        Trouble::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
-        Trouble::None | Trouble::Lossy | Trouble::Late => {}
+        TableFault::Slow(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
+        TableFault::None | TableFault::RepliesLost | TableFault::RepliesLostWritesDelayed => {}
     }
     match path.as_str() {
-        "/v1/rows-tx" => write(&body, &table, trouble).await,
+        "/v1/rows-tx" => write(&body, &table, fault).await,
         "/v1/rows-get" => reply(200, &table.lock().unwrap().read(&query)),
         "/v1/rows-feed" => feed(&query, &table).await,
         _ => reply(404, &json!({})),
     }
 }
 
-async fn write(body: &[u8], table: &Mutex<Table>, trouble: Trouble) -> Reply {
+async fn write(body: &[u8], table: &Mutex<Table>, fault: TableFault) -> Reply {
     let Ok(transaction) = serde_json::from_slice::<Transaction>(body) else {
         return reply(400, &json!({}));
     };
     let lost = {
         let mut table = table.lock().unwrap();
         table.writes += 1;
-        table.writes.is_multiple_of(2) && matches!(trouble, Trouble::Lossy | Trouble::Late)
+        table.writes.is_multiple_of(2)
+            && matches!(fault, TableFault::RepliesLost | TableFault::RepliesLostWritesDelayed)
     };
-    if lost && trouble == Trouble::Late {
+    if lost && fault == TableFault::RepliesLostWritesDelayed {
         tokio::time::sleep(Duration::from_secs(1)).await;
     }
-    let (status, told) = table.lock().unwrap().commit(&transaction);
+    let (status, value_read) = table.lock().unwrap().commit(&transaction);
     if lost {
-        tokio::time::sleep(HELD).await;
+        tokio::time::sleep(HOLD_TIME).await;
     }
-    reply(status, &told)
+    reply(status, &value_read)
 }
 
 async fn feed(query: &BTreeMap<String, String>, table: &Mutex<Table>) -> Reply {
@@ -251,8 +253,8 @@
                 Some(_) => {}
             }
         }
-        tokio::time::sleep(LOOK).await;
-        waited += LOOK;
+        tokio::time::sleep(POLL_INTERVAL).await;
+        waited += POLL_INTERVAL;
     }
 }
 
--- a/crates/stand-in/tests/soak/worker.rs
+++ b/crates/stand-in/tests/soak/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as its agent sees it: reports, starts, stops and looks.
+//! A simulated worker's protocol with its agent: heartbeats, starts, stops and polls.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -7,18 +7,18 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::hall::{Hall, LEASE};
-use crate::judge::Task;
+use crate::checker::Task;
+use crate::fleet::{Fleet, MAX_LEASE_MS};
 use crate::net::{Net, REPORTS, WORKER};
 
-/// Time between two reports of a worker.
-const BEAT: Duration = Duration::from_millis(300);
-/// When runs began, in milliseconds since 1970.
-const EPOCH: u64 = 1_700_000_000_000;
-/// A start without an answer is carried out after this time ...
-const CARRIED_OUT: Duration = Duration::from_millis(2500);
-/// How often a look that waits for an end sees whether there is one.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between two heartbeats of a worker.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+/// Wall-clock time at the start of a run, in milliseconds since 1970.
+const CLOCK_ORIGIN_MS: u64 = 1_700_000_000_000;
+/// Delay after which a start without a reply is carried out.
+const LATE_START_DELAY: Duration = Duration::from_millis(2500);
+/// How often a poll that waits for an end checks for one.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Deserialize)]
 #[serde(default)]
@@ -28,29 +28,34 @@
     run: u64,
     spec: String,
     #[serde(rename = "deadlineMs")]
-    until: u64,
+    lease_end: u64,
     fence: u64,
     #[serde(rename = "lastSeen")]
-    seen: u64,
+    acknowledged: u64,
     #[serde(rename = "waitMs")]
-    wait: u64,
+    wait_ms: u64,
 }
 
-/// Serves the calls of one worker's agent, and reports to it.
-pub fn spawn(net: Net, host: u8, at: usize, hall: Arc<Mutex<Hall>>) -> std::io::Result<Server> {
-    let served = Arc::clone(&hall);
+/// Serves the calls of one worker's agent, and sends heartbeats to it.
+pub fn spawn(
+    net: Net,
+    host: u8,
+    index: usize,
+    fleet: Arc<Mutex<Fleet>>,
+) -> std::io::Result<Server> {
+    let served = Arc::clone(&fleet);
     let server = Server::bind("worker", &net.own(host, WORKER), move |request| {
-        serve(request, at, Arc::clone(&served))
+        serve(request, index, Arc::clone(&served))
     })?;
     std::thread::spawn(move || {
         actix_rt::System::new().block_on(async move {
             let client = awc::Client::default();
-            let mut sent = (0, 0);
+            let mut seq = (0, 0);
             loop {
-                tokio::time::sleep(BEAT).await;
-                let Some((id, body)) = report(net, host, at, &mut sent, &hall) else { continue };
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
+                let Some((id, msg)) = report(net, host, index, &mut seq, &fleet) else { continue };
                 let url = format!("http://{}/v1/instances/{id}", net.own(host, REPORTS));
-                let _ = client.put(url).timeout(BEAT).send_json(&body).await;
+                let _ = client.put(url).timeout(HEARTBEAT_INTERVAL).send_json(&msg).await;
             }
         });
     });
@@ -60,178 +65,181 @@
 fn report(
     net: Net,
     host: u8,
-    at: usize,
-    (life, number): &mut (u64, u64),
-    hall: &Mutex<Hall>,
+    index: usize,
+    (incarnation, number): &mut (u64, u64),
+    fleet: &Mutex<Fleet>,
 ) -> Option<(String, Value)> {
-    let hall = hall.lock().unwrap();
-    let worker = &hall.workers[at];
-    if hall.now() < worker.dark {
+    let fleet = fleet.lock().unwrap();
+    let worker = &fleet.workers[index];
+    if fleet.now() < worker.unavailable_until {
         return None;
     }
-    *number = if *life == worker.life { *number + 1 } else { 1 };
-    *life = worker.life;
-    let rack = format!("r{}", at / 3);
-    // Where something stands before the worker, its agent comes through there.
-    let address = match hall.doors.is_empty() {
+    *number = if *incarnation == worker.incarnation { *number + 1 } else { 1 };
+    *incarnation = worker.incarnation;
+    let rack = format!("r{}", index / 3);
+    // With a proxy in front of the worker, the agent connects through it.
+    let address = match fleet.proxies.is_empty() {
         true => net.own(host, WORKER),
         false => net.to_worker(host),
     };
     let mut body = json!({
-        "service": "pool", "address": address, "zone": format!("z{}", Hall::zone(at)), "version": "v1",
-        "slots": 8, "state": "ready", "coldLeftMs": 0, "seq": number, "clockMs": hall.clock(at),
-        "capacity": { "cpu": 64_000, "memMb": 262_144, "gpu": worker.room() },
+        "service": "pool", "address": address, "zone": format!("z{}", Fleet::zone(index)), "version": "v1",
+        "slots": 8, "state": "ready", "coldLeftMs": 0, "seq": number, "clockMs": fleet.clock(index),
+        "capacity": { "cpu": 64_000, "memMb": 262_144, "gpu": worker.capacity() },
         "labels": ["a", rack],
     });
-    say_born(&hall, at, &mut body);
-    Some((id(&hall, at), body))
+    add_start_time(&fleet, index, &mut body);
+    Some((id(&fleet, index), body))
 }
 
-/// Says when a worker started, where that tells its starts apart.
-fn say_born(hall: &Hall, at: usize, body: &mut Value) {
-    if hall.keeps_ids() {
-        body["born"] = json!(EPOCH + hall.workers[at].born);
+/// Adds the start time of a worker if its id does not identify the incarnation.
+fn add_start_time(fleet: &Fleet, index: usize, body: &mut Value) {
+    if fleet.keeps_ids() {
+        body["born"] = json!(CLOCK_ORIGIN_MS + fleet.workers[index].started_at);
     }
 }
 
-/// Names a worker.
-pub fn id(hall: &Hall, at: usize) -> String {
-    match hall.keeps_ids() {
-        true => format!("i{at}"),
-        false => format!("i{at}-{}", hall.workers[at].life),
+/// Returns the id of a worker.
+pub fn id(fleet: &Fleet, index: usize) -> String {
+    match fleet.keeps_ids() {
+        true => format!("i{index}"),
+        false => format!("i{index}-{}", fleet.workers[index].incarnation),
     }
 }
 
-async fn serve(mut request: Request, at: usize, hall: Arc<Mutex<Hall>>) -> Reply {
+async fn serve(mut request: Request, index: usize, fleet: Arc<Mutex<Fleet>>) -> Reply {
     let path = request.path().to_owned();
     let header = request.headers().get("x-quincewheel-expect-instance");
-    let meant = header.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
+    let expected_id = header.and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
     let Body::Whole(body) = quincewheel_http::read(&mut request, 1 << 20).await else {
-        return told(400, &json!({}));
+        return reply(400, &json!({}));
     };
-    let Ok(call) = serde_json::from_slice::<Call>(&body) else { return told(400, &json!({})) };
-    let dark = {
-        let hall = hall.lock().unwrap();
-        hall.workers[at].dark.saturating_sub(hall.now())
+    let Ok(call) = serde_json::from_slice::<Call>(&body) else { return reply(400, &json!({})) };
+    let unavailable_ms = {
+        let fleet = fleet.lock().unwrap();
+        fleet.workers[index].unavailable_until.saturating_sub(fleet.now())
     };
-    if dark > 0 {
-        // Whoever is dark answers nothing; the caller gives up long before.
-        tokio::time::sleep(Duration::from_millis(dark)).await;
-        return told(503, &json!({}));
+    if unavailable_ms > 0 {
+        // An unavailable worker does not reply; the caller times out long before.
+        tokio::time::sleep(Duration::from_millis(unavailable_ms)).await;
+        return reply(503, &json!({}));
     }
-    let (late, life) = {
-        let hall = hall.lock().unwrap();
-        let worker = &hall.workers[at];
-        (path == "/v1/run-start" && hall.now() < worker.late, worker.life)
+    let (late, incarnation) = {
+        let fleet = fleet.lock().unwrap();
+        let worker = &fleet.workers[index];
+        (path == "/v1/run-start" && fleet.now() < worker.starts_delayed_until, worker.incarnation)
     };
     if late {
-        // The caller has given up by then. A worker that starts again knows nothing of it.
-        tokio::time::sleep(CARRIED_OUT).await;
-        if hall.lock().unwrap().workers[at].life != life {
-            return told(421, &json!({}));
+        // The caller has timed out by then. A restarted worker drops the start.
+        tokio::time::sleep(LATE_START_DELAY).await;
+        if fleet.lock().unwrap().workers[index].incarnation != incarnation {
+            return reply(421, &json!({}));
         }
     }
-    let (status, body) = carry_out(&mut hall.lock().unwrap(), at, (&path, &meant), &call, !late);
+    let (status, body) =
+        handle(&mut fleet.lock().unwrap(), index, (&path, &expected_id), &call, !late);
     if path != "/v1/hold" || status != 200 {
-        return told(status, &body);
+        return reply(status, &body);
     }
     let mut waited = Duration::ZERO;
-    while waited < Duration::from_millis(call.wait)
-        && hall.lock().unwrap().workers[at].ended.is_empty()
+    while waited < Duration::from_millis(call.wait_ms)
+        && fleet.lock().unwrap().workers[index].ended.is_empty()
     {
-        tokio::time::sleep(LOOK).await;
-        waited += LOOK;
+        tokio::time::sleep(POLL_INTERVAL).await;
+        waited += POLL_INTERVAL;
     }
-    told(200, &look(&hall.lock().unwrap(), at))
+    reply(200, &poll_reply(&fleet.lock().unwrap(), index))
 }
 
-/// Does what the call asks for, if it means this worker and nothing fences it off.
-fn carry_out(
-    hall: &mut Hall,
-    at: usize,
-    (path, meant): (&str, &str),
+/// Handles a call, unless it is for another incarnation or fenced off.
+fn handle(
+    fleet: &mut Fleet,
+    index: usize,
+    (path, expected_id): (&str, &str),
     call: &Call,
     on_time: bool,
 ) -> (u16, Value) {
-    if meant != id(hall, at) || hall.now() < hall.workers[at].dark {
+    if expected_id != id(fleet, index) || fleet.now() < fleet.workers[index].unavailable_until {
         return (421, json!({}));
     }
-    let worker = &mut hall.workers[at];
+    let worker = &mut fleet.workers[index];
     let fenced = call.fence < worker.fence;
     worker.fence = worker.fence.max(call.fence);
     match path {
-        _ if fenced => refused(hall, at, "fence"),
-        "/v1/run-start" => start(hall, at, call, on_time),
-        "/v1/run-stop" => stop(hall, at, call),
-        "/v1/hold" => hold(hall, at, call),
+        _ if fenced => refused(fleet, index, "fence"),
+        "/v1/run-start" => start(fleet, index, call, on_time),
+        "/v1/run-stop" => stop(fleet, index, call),
+        "/v1/hold" => hold(fleet, index, call),
         _ => (404, json!({})),
     }
 }
 
-fn start(hall: &mut Hall, at: usize, call: &Call, on_time: bool) -> (u16, Value) {
-    let now = hall.clock(at);
-    extend(hall, at, call.until);
+fn start(fleet: &mut Fleet, index: usize, call: &Call, on_time: bool) -> (u16, Value) {
+    let now = fleet.clock(index);
+    extend(fleet, index, call.lease_end);
     let Some(task) = task(&call.task) else { return (400, json!({})) };
-    let worker = &hall.workers[at];
+    let worker = &fleet.workers[index];
     if worker.runs.get(&task).is_some_and(|run| run.number == call.run) {
         return (200, json!({ "clockMs": now }));
     }
-    let over = worker.over.get(&task).copied().unwrap_or(0);
-    if call.run <= over || worker.runs.contains_key(&task) {
-        return refused(hall, at, "old");
+    let highest_ended = worker.highest_ended.get(&task).copied().unwrap_or(0);
+    if call.run <= highest_ended || worker.runs.contains_key(&task) {
+        return refused(fleet, index, "old");
     }
-    if call.until <= now {
-        return refused(hall, at, "late");
+    if call.lease_end <= now {
+        return refused(fleet, index, "late");
     }
-    if hall.checks(at) && hall.used(at) + hall.need(&task) > hall.workers[at].room() {
-        return refused(hall, at, "room");
+    if fleet.checks_capacity(index)
+        && fleet.used(index) + fleet.need(&task) > fleet.workers[index].capacity()
+    {
+        return refused(fleet, index, "room");
     }
-    hall.begin(at, task, call.run, &call.spec, on_time);
+    fleet.start_run(index, task, call.run, &call.spec, on_time);
     (200, json!({ "clockMs": now }))
 }
 
-fn stop(hall: &mut Hall, at: usize, call: &Call) -> (u16, Value) {
+fn stop(fleet: &mut Fleet, index: usize, call: &Call) -> (u16, Value) {
     let Some(task) = task(&call.task) else { return (400, json!({})) };
-    hall.stop(at, &task, call.run);
-    (200, json!({ "clockMs": hall.clock(at) }))
+    fleet.stop_run(index, &task, call.run);
+    (200, json!({ "clockMs": fleet.clock(index) }))
 }
 
-fn hold(hall: &mut Hall, at: usize, call: &Call) -> (u16, Value) {
-    extend(hall, at, call.until);
-    hall.acknowledge(at, call.seen);
+fn hold(fleet: &mut Fleet, index: usize, call: &Call) -> (u16, Value) {
+    extend(fleet, index, call.lease_end);
+    fleet.acknowledge(index, call.acknowledged);
     (200, json!({}))
 }
 
-/// A lease never gets shorter, and never longer than the longest.
-fn extend(hall: &mut Hall, at: usize, until: u64) {
-    let most = hall.now() + LEASE;
-    let worker = &mut hall.workers[at];
-    worker.lease = worker.lease.max((until + worker.born).min(most));
+/// Extends the lease. It never gets shorter, nor longer than [`MAX_LEASE_MS`].
+fn extend(fleet: &mut Fleet, index: usize, lease_end: u64) {
+    let max_lease_end = fleet.now() + MAX_LEASE_MS;
+    let worker = &mut fleet.workers[index];
+    worker.lease = worker.lease.max((lease_end + worker.started_at).min(max_lease_end));
 }
 
-fn look(hall: &Hall, at: usize) -> Value {
-    let worker = &hall.workers[at];
-    let now = hall.now();
+fn poll_reply(fleet: &Fleet, index: usize) -> Value {
+    let worker = &fleet.workers[index];
+    let now = fleet.now();
     let running: Vec<Value> = worker
         .runs
         .iter()
-        .map(|(task, run)| json!([name(task), run.number, "", (now - run.began) / 50 % 100]))
+        .map(|(task, run)| json!([name(task), run.number, "", (now - run.started_at) / 50 % 100]))
         .collect();
     let ended: Vec<Value> = worker
         .ended
         .iter()
         .map(|end| json!([end.number, name(&end.task), end.run, end.how, ""]))
         .collect();
-    let mut body = json!({ "clockMs": hall.clock(at), "running": running, "ended": ended });
-    say_born(hall, at, &mut body);
+    let mut body = json!({ "clockMs": fleet.clock(index), "running": running, "ended": ended });
+    add_start_time(fleet, index, &mut body);
     body
 }
 
-fn refused(hall: &Hall, at: usize, reason: &str) -> (u16, Value) {
-    (409, json!({ "clockMs": hall.clock(at), "reason": reason }))
+fn refused(fleet: &Fleet, index: usize, reason: &str) -> (u16, Value) {
+    (409, json!({ "clockMs": fleet.clock(index), "reason": reason }))
 }
 
-fn told(status: u16, body: &Value) -> Reply {
+fn reply(status: u16, body: &Value) -> Reply {
     quincewheel_http::reply(status, "application/json", body.to_string())
 }
 
