--- a/crates/agent/src/site.rs
+++ b/crates/agent/src/site.rs
@@ -120,7 +120,7 @@
             grace.set(config.bounds.grace);
             agent.runner.borrow_mut().update_settings(runner_settings(&config.bounds));
         }
-        Err(error) => log::warn!(event = "reload"; "{error}; the former settings stay"),
+        Err(error) => log::warn!(event = "reload"; "{error}; keeping the previous settings"),
     }
 }
 
