--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -176,12 +176,7 @@
                     Ask::Wait { team, request, .. }
                     | Ask::Cancel { team, request }
                     | Ask::Get { team, request } => (team, request),
-                    _ => {
-                        return Err(Fault::new(
-                            Code::Unavailable,
-                            "the answer is of another kind than the call",
-                        ));
-                    }
+                    _ => return Err(Fault::new(Code::Unavailable, "unexpected answer")),
                 };
                 let reply = convert::job_reply(team, request, outcome, attempts);
                 Ok((codec.reply(&reply), name))
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -145,7 +145,7 @@
     runtime.block_on(async {
         wait_for_signal().await?;
         log::info!(step = "drain"; "shutting down");
-        drain(&commands, &status, &draining, settings.drain).await;
+        drain(&commands, &status, &draining, settings.drain_timeout).await;
         server.stop().await;
         log::info!(step = "drain"; "ended");
         Ok(())
@@ -177,12 +177,12 @@
         name: settings.name.clone(),
         incarnation,
         address: settings.listen.clone(),
-        operator_key_digest: settings.operator_digest.clone(),
+        operator_key_digest: settings.operator_key_digest.clone(),
         clock_origin,
         seed: incarnation,
-        stop_grace: settings.grace,
+        stop_grace: settings.stop_grace,
         limits: settings.limits,
-        max_attempts: settings.attempts,
+        max_attempts: settings.max_attempts,
         retention: settings.retention,
         ..shard::Settings::default()
     }
@@ -209,8 +209,8 @@
     draining.store(true, Ordering::Relaxed);
     commands.send(Command::Drain).await;
     let end = Instant::now() + bound;
-    // The driver publishes its status after each round; after this time it has handled the
-    // command.
+    // The driver publishes its status after each round. This delay covers two rounds, after which
+    // the status reflects the drain.
     tokio::time::sleep(Duration::from_millis(200)).await;
     loop {
         let idle = status.pending.load(Ordering::Relaxed) == 0;
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -129,15 +129,15 @@
     /// Key shared by all processes, which authenticates connections between them.
     pub fleet_key: String,
     /// SHA-256 of the operators' key.
-    pub operator_digest: String,
+    pub operator_key_digest: String,
     /// Time that calls in flight have to end after SIGTERM.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Time that a task has to save a checkpoint before it is stopped.
-    pub grace: Duration,
+    pub stop_grace: Duration,
     /// Limits of the pool.
     pub limits: Limits,
     /// Maximum number of starts of one idempotent job.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// How long recorded outcomes are kept.
     pub retention: Duration,
     /// Level of the log.
@@ -156,9 +156,9 @@
             listen: r.address(&LISTEN),
             platform: r.address(&PLATFORM),
             fleet_key: r.secret(&FLEET_KEY, 16),
-            operator_digest: r.digest(&OPERATOR_KEY_DIGEST),
-            drain: r.millis(&DRAIN, 0, 600_000),
-            grace: r.millis(&GRACE, 0, 600_000),
+            operator_key_digest: r.digest(&OPERATOR_KEY_DIGEST),
+            drain_timeout: r.millis(&DRAIN, 0, 600_000),
+            stop_grace: r.millis(&GRACE, 0, 600_000),
             limits: Limits {
                 max_queued: r.number(&QUEUE, 1, 100_000),
                 failure_reserve: r.number(&RESERVE, 0, 1000),
@@ -166,7 +166,7 @@
                 fragmentation_weight: r.number(&WEIGHING, 0, 100),
                 quarantine_threshold: r.number(&STRIKES, 1, 100),
             },
-            attempts: r.number(&ATTEMPTS, 1, 100),
+            max_attempts: r.number(&ATTEMPTS, 1, 100),
             retention: Duration::from_secs(r.number(&RETENTION, 60, 2_592_000)),
             log_level: r.level(&LOG_LEVEL),
             events: r.switch(&EVENTS),
--- a/crates/entry/tests/day.rs
+++ b/crates/entry/tests/day.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn logs_without_jobs_have_none() {
+fn logs_without_jobs_yield_no_jobs() {
     assert_eq!(sum_up(None, "x\n{}\n".as_bytes(), Vec::new()).unwrap(), 0);
 }
 
