--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -212,7 +212,7 @@
                 let others = processes.into_iter().filter(|process| process.entry);
                 others.map(|process| process.name).filter(|name| *name != self.name).collect()
             }
-            _ => vec!["all other entries: no owner is reachable to list them".to_owned()],
+            _ => vec!["all other entries: no owner tells which there are".to_owned()],
         };
         let burn = self.burn.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let rows = burn.report(self.start.elapsed());
