--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! It accepts and dials connections, authenticates them, and moves frames between
 //! sockets and rings. Received frames wait for space in the ring, so that a slow
-//! consumer in this process applies back-pressure to its peers. Frames to send have
+//! receiver in this process applies back-pressure to its peers. Frames to send have
 //! a bounded queue per connection; a connection whose queue is full is closed, so
 //! that a slow peer cannot block this process or grow its memory.
 
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -4,9 +4,8 @@
 use quincewheel_place::WorkerState;
 
 /// Whole workers of a pool that are reserved for urgent work while they are free, in percent of
-/// the pool. Average job value under four reference loads, two of them in small pools: 0.842,
-/// 0.764, 0.752 and 0.664 at 0%; 0.847, 0.773, 0.764 and 0.658 at 20%; 0.846, 0.768, 0.776 and
-/// 0.674 at 30%; 0.831, 0.773, 0.762 and 0.684 at 40%.
+/// the pool. With fewer, urgent gangs wait or preempt; with more, other work waits beside idle
+/// workers.
 const RESERVED_PERCENT: usize = 30;
 
 /// Hides whole free workers of a pool from work that is not urgent, and returns their indices
