--- a/crates/policy/src/preemption.rs
+++ b/crates/policy/src/preemption.rs
@@ -5,9 +5,7 @@
 use quincewheel_job::Step;
 
 /// Work that may be lost for each unit of work that then ends in time. A job of priority 0 is
-/// worth about four times its work, and preempted work also has to wait. The ratio matters
-/// little: average job value under four reference loads is 0.886, 0.819, 0.796 and 0.704 at 1,
-/// and 0.886, 0.817, 0.796 and 0.700 at 2; at 3 it is 0.887 and 0.816 under the first two.
+/// worth about four times its work, and preempted work also has to wait.
 const LOSS_PER_WORK: u64 = 2;
 
 /// Borrowed capacity is reclaimed this many milliseconds earlier than a stop takes: for the wait for
